--- a/fescuekeel/components/forward/__init__.py
+++ b/fescuekeel/components/forward/__init__.py
@@ -1,4 +1,4 @@
-"""The forward component: callers' requests, passed on as they are."""
+"""The forward component: proxies callers' HTTP requests to endpoints."""
 
 from fescuekeel.components.forward.component import Forwarder
 from fescuekeel.components.forward.const import DOMAIN
@@ -8,7 +8,7 @@
 
 
 def setup(instance: Instance) -> Forwarder:
-    """Create the component."""
+    """Set up the component."""
     return Forwarder(instance)
 
 
--- a/fescuekeel/components/forward/accounts.py
+++ b/fescuekeel/components/forward/accounts.py
@@ -1,43 +1,45 @@
-"""Decide whose request it is, and whether that is known for sure; pure."""
+"""Authenticate requests by key against the known configuration; pure."""
 
 import random
 from dataclasses import dataclass
 
 from fescuekeel.components.forward.const import (
-    CUT_OFF_RETRY_FROM_S,
-    CUT_OFF_RETRY_TO_S,
-    MISSED_PERIODS,
-    REVOKED_MARGIN_S,
+    LOST_CONTACT_PERIODS,
+    MAX_CUT_OFF_RETRY_S,
+    MIN_CUT_OFF_RETRY_S,
+    REVOCATION_MARGIN_S,
 )
 from fescuekeel.errors import ErrorKind, Failure
 from fescuekeel.helpers.published import ClientAccount, Configuration, Route
 
-__all__ = ["AccountBounds", "find_account", "is_too_old"]
+__all__ = ["AccountBounds", "find_account", "is_configuration_stale"]
 
 
 @dataclass(frozen=True, slots=True)
 class AccountBounds:
-    """The bounds of the settings, in seconds.
+    """Propagation bounds from the settings, in seconds.
 
-    A new key serves ``change_s`` after it was published, and one that was
-    taken away serves nowhere after ``revoked_s``; zero sets no such bound.
+    A new key is accepted everywhere within ``change_bound_s`` of its
+    publication, and a revoked one nowhere after ``revoked_bound_s``; zero
+    disables the latter.
     """
 
-    change_s: float
-    revoked_s: float
+    change_bound_s: float
+    revoked_bound_s: float
 
 
-def is_too_old(configuration: Configuration, age_s: float, revoked_s: float) -> bool:
-    """Tell whether keys may have been taken away without word of it.
+def is_configuration_stale(
+    configuration: Configuration, age_s: float, revoked_bound_s: float
+) -> bool:
+    """Return whether keys may have been revoked without this instance knowing.
 
-    Guards against a key that goes on being served by an instance that was cut
-    off, suspended or turned away by the store: it hears nothing of the change
-    and looks well from inside. What counts is how long ago it is known to
-    have had the newest configuration.
+    Guards against accepting a revoked key on an instance that is partitioned,
+    suspended or rejected by the store. ``age_s`` is the time since the
+    configuration was last confirmed to be the newest.
     """
-    if configuration.accounts_by_digest is None or revoked_s <= 0:
+    if configuration.accounts_by_digest is None or revoked_bound_s <= 0:
         return False
-    return age_s > revoked_s - REVOKED_MARGIN_S
+    return age_s > revoked_bound_s - REVOCATION_MARGIN_S
 
 
 def find_account(
@@ -47,10 +49,10 @@
     age_s: float,
     bounds: AccountBounds,
 ) -> ClientAccount | Failure | None:
-    """Return whose request it is, ``None`` where requests need no key.
+    """Return the request's account, or ``None`` if no key is required.
 
-    A key that is not known is refused at once, unless this instance has lost
-    touch for longer than a new one takes: then another one is to be asked.
+    An unknown key is rejected, unless this instance may have missed the
+    publication of a new one: the caller is then told to retry elsewhere.
     """
     accounts = configuration.accounts_by_digest
     if accounts is None:
@@ -58,19 +60,19 @@
     account = accounts.get(key_digest)
     if route.open:
         return account
-    if is_too_old(configuration, age_s, bounds.revoked_s):
-        return _refuse_stale(age_s)
+    if is_configuration_stale(configuration, age_s, bounds.revoked_bound_s):
+        return _make_stale_failure(age_s)
     if account is not None:
         return account
-    if key_digest and age_s > MISSED_PERIODS * bounds.change_s:
-        return _refuse_stale(age_s)
+    if key_digest and age_s > LOST_CONTACT_PERIODS * bounds.change_bound_s:
+        return _make_stale_failure(age_s)
     return Failure(ErrorKind.UNAUTHENTICATED, "unknown key" if key_digest else "no key")
 
 
-def _refuse_stale(age_s: float) -> Failure:
-    """Lead callers elsewhere, where the configuration may be known."""
+def _make_stale_failure(age_s: float) -> Failure:
+    """Tell the caller to retry, by then at an up-to-date instance."""
     return Failure(
         ErrorKind.CONFIGURATION_STALE,
         f"age {age_s:.1f} s",
-        retry_after_s=random.uniform(CUT_OFF_RETRY_FROM_S, CUT_OFF_RETRY_TO_S),
+        retry_after_s=random.uniform(MIN_CUT_OFF_RETRY_S, MAX_CUT_OFF_RETRY_S),
     )
--- a/fescuekeel/components/forward/attempts.py
+++ b/fescuekeel/components/forward/attempts.py
@@ -1,8 +1,8 @@
-"""Decide what becomes of a request after each attempt; pure.
+"""Decide how a request continues after each attempt; pure.
 
-Two promises rest here. A request that may not run twice is sent again only
-after the endpoint's own word that it did not run, or if no byte of it left.
-And "not run" is told to a caller only while no attempt can have run.
+Two guarantees are made here. A request that must not run twice is retried only
+if the endpoint reports that it did not run, or if no byte of it was sent. And
+the caller is told "not run" only if no attempt can have run.
 """
 
 from dataclasses import dataclass, field
@@ -15,12 +15,13 @@
 
 
 class AttemptEnd(StrEnum):
-    """Name how an attempt ended without an answer that could be passed on.
+    """How an attempt ended without an answer to forward.
 
-    ``UNSENT``: no byte left. ``NOT_RUN``: the endpoint's word that it did not
-    run. ``MISDIRECTED``: another endpoint, or other weights, are there; it
-    did not run. ``FAILED``: the endpoint ran it and answered with a failure.
-    ``BROKEN``: it was sent, and no whole answer came.
+    ``UNSENT``: no byte was sent. ``NOT_RUN``: the endpoint reports that it did
+    not run the request. ``MISDIRECTED``: it did not run it because it is
+    another endpoint or has other weights. ``FAILED``: it ran the request and
+    answered with an error. ``BROKEN``: the request was sent, and the answer
+    is missing or incomplete.
     """
 
     UNSENT = "unsent"
@@ -31,35 +32,35 @@
 
 
 class Step(StrEnum):
-    """Name what comes next."""
+    """The next action for a request."""
 
-    AGAIN = "again"
+    RETRY = "retry"
     RESUME = "resume"
     REFUSE = "refuse"
     FAIL = "fail"
     PASS_ON = "pass_on"
-    BREAK_OFF = "break_off"
+    ABORT = "abort"
 
 
 @dataclass(frozen=True, slots=True)
 class NextStep:
-    """Say what comes next; ``spends`` takes from the retry budget first.
+    """The next action, and whether it uses the retry budget.
 
-    ``kind`` is what the caller is told if this, or the budget, ends it.
+    ``kind`` is the caller's error if this step or the budget ends the request.
     """
 
     step: Step
     kind: ErrorKind
-    spends: bool = False
+    uses_budget: bool = False
 
 
 @dataclass(slots=True)
 class RequestState:
-    """What is known of one request at its entry.
+    """The state of one request over all its attempts.
 
-    ``endpoints`` are those that it was sent to, ``may_have_run`` says whether
-    one of them can have run it, ``delivered`` whether the caller has seen the
-    head of an answer.
+    ``endpoints`` are those that it was sent to, ``may_have_run`` is true if
+    one of them can have run it, and ``answer_started`` if the answer's head
+    was written to the caller.
     """
 
     safe: bool
@@ -68,65 +69,65 @@
     endpoints: set[str] = field(default_factory=set)
     sends: int = 0
     may_have_run: bool = False
-    delivered: bool = False
+    answer_started: bool = False
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether it may run more than once."""
+        """Return whether the request may run more than once."""
         return self.safe or self.resumable
 
     @property
-    def may_go_elsewhere(self) -> bool:
-        """Tell whether one more endpoint may be handed the request."""
+    def may_try_another_endpoint(self) -> bool:
+        """Return whether the request may be sent to one more endpoint."""
         return len(self.endpoints) < self.max_attempts and self.sends < MAX_SENDS
 
     def note_sent(self, endpoint: str) -> None:
-        """Note that bytes leave for an endpoint."""
+        """Record that the request is sent to an endpoint."""
         self.endpoints.add(endpoint)
         self.sends += 1
 
-    def may_go_to(self, endpoint: str) -> bool:
-        """Tell whether the request may be sent to an endpoint.
+    def may_send_to(self, endpoint: str) -> bool:
+        """Return whether the request may be sent to an endpoint.
 
-        The number of attempts bounds the endpoints; one that refused it may
-        be asked again.
+        ``max_attempts`` limits the number of distinct endpoints; one that
+        refused the request may get it again.
         """
         return endpoint in self.endpoints or len(self.endpoints) < self.max_attempts
 
 
 def decide(state: RequestState, end: AttemptEnd) -> NextStep:
-    """Return what comes after an attempt that ended so.
+    """Return the next step after an attempt.
 
     >>> decide(RequestState(False, False, 1), AttemptEnd.BROKEN).step.value
     'fail'
     """
     if end in (AttemptEnd.FAILED, AttemptEnd.BROKEN):
         state.may_have_run = True
-    if state.delivered:
-        return _decide_midway(state, end)
+    if state.answer_started:
+        return _decide_after_start(state, end)
     refused = NextStep(Step.REFUSE, ErrorKind.ENDPOINT_REFUSED)
     unknown = NextStep(Step.FAIL, ErrorKind.OUTCOME_UNKNOWN)
     final = unknown if state.may_have_run else refused
     if end is AttemptEnd.UNSENT:
-        # Nothing was sent, so that nothing is counted: only time bounds it.
-        return NextStep(Step.AGAIN, final.kind)
+        # Nothing was sent: limited by the deadline only.
+        return NextStep(Step.RETRY, final.kind)
     if state.sends >= MAX_SENDS:
         return final if end is not AttemptEnd.FAILED else _pass_on()
     if end in (AttemptEnd.NOT_RUN, AttemptEnd.MISDIRECTED):
-        return NextStep(Step.AGAIN, final.kind, spends=True)
+        return NextStep(Step.RETRY, final.kind, uses_budget=True)
     if not state.repeatable:
         return final if end is AttemptEnd.BROKEN else _pass_on()
     if end is AttemptEnd.FAILED and len(state.endpoints) >= state.max_attempts:
         return _pass_on()
-    return NextStep(Step.AGAIN, final.kind, spends=True)
+    return NextStep(Step.RETRY, final.kind, uses_budget=True)
 
 
 def _pass_on() -> NextStep:
     return NextStep(Step.PASS_ON, ErrorKind.OUTCOME_UNKNOWN)
 
 
-def _decide_midway(state: RequestState, end: AttemptEnd) -> NextStep:
+def _decide_after_start(state: RequestState, end: AttemptEnd) -> NextStep:
     if not state.resumable or state.sends >= MAX_SENDS:
-        return NextStep(Step.BREAK_OFF, ErrorKind.ANSWER_CUT)
-    spends = end is not AttemptEnd.UNSENT
-    return NextStep(Step.RESUME, ErrorKind.ANSWER_CUT, spends)
+        return NextStep(Step.ABORT, ErrorKind.ANSWER_CUT)
+    uses_budget = end is not AttemptEnd.UNSENT
+    return NextStep(Step.RESUME, ErrorKind.ANSWER_CUT, uses_budget)
--- a/fescuekeel/components/forward/budget.py
+++ b/fescuekeel/components/forward/budget.py
@@ -1,30 +1,30 @@
-"""The budget for sending requests a second time, shared by all instances."""
+"""The retry budget, shared by all instances."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass, field
 
 __all__ = ["RetryBudget"]
 
-# This share of the whole budget is used, so that instances whose windows
-# begin at different times do not exceed it together.
-SAFE_SHARE = 0.7
+# Less than the whole, since the windows of the instances are not aligned and
+# their sum must not exceed the budget.
+USABLE_SHARE = 0.7
 
 
 @dataclass(slots=True)
-class Window:
-    """When requests came and repeats were sent, oldest first."""
+class RetryWindow:
+    """Times of requests and retries in the window, oldest first."""
 
     requests: deque[float] = field(default_factory=deque)
-    repeats: deque[float] = field(default_factory=deque)
+    retries: deque[float] = field(default_factory=deque)
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Count requests and repeats of each service in a sliding window.
+    """Limit each service's retries in a sliding window.
 
-    Each instance adds its own requests' share and its part of the slack. The
-    part is taken of the largest fleet seen lately: a cut hides instances that
-    go on spending.
+    An instance may retry a share of its own requests, plus its part of the
+    slack. ``instances`` is the largest number of members seen: during a
+    partition the others still use their part.
 
     >>> budget = RetryBudget(ratio=0.2, slack=2.0, window_s=10.0)
     >>> budget.spend("s", now=0.0), budget.spend("s", now=0.0)
@@ -35,36 +35,36 @@
     slack: float
     window_s: float
     instances: int = 1
-    _windows_by_service: defaultdict[str, Window] = field(
-        default_factory=lambda: defaultdict(Window)
+    _windows_by_service: defaultdict[str, RetryWindow] = field(
+        default_factory=lambda: defaultdict(RetryWindow)
     )
 
     def note_request(self, service: str, now: float) -> None:
-        """Count a request on its way to a service."""
+        """Count a request to a service."""
         window = self._windows_by_service[service]
         window.requests.append(now)
-        self._forget(window, now)
+        self._expire(window, now)
 
     def spend(self, service: str, now: float) -> bool:
-        """Spend for one repeat; return whether there was anything left."""
+        """Use the budget for one retry; return whether it sufficed."""
         window = self._windows_by_service[service]
-        self._forget(window, now)
-        if len(window.repeats) + 1 > self._count_allowed(window):
+        self._expire(window, now)
+        if len(window.retries) + 1 > self._compute_limit(window):
             return False
-        window.repeats.append(now)
+        window.retries.append(now)
         return True
 
     def count_left(self, service: str, now: float) -> int:
-        """Return how many repeats may still be spent."""
+        """Return how many retries are left."""
         window = self._windows_by_service[service]
-        self._forget(window, now)
-        return int(self._count_allowed(window) - len(window.repeats))
+        self._expire(window, now)
+        return int(self._compute_limit(window) - len(window.retries))
 
-    def _count_allowed(self, window: Window) -> float:
+    def _compute_limit(self, window: RetryWindow) -> float:
         own = self.ratio * len(window.requests) + self.slack / self.instances
-        return own * SAFE_SHARE
+        return own * USABLE_SHARE
 
-    def _forget(self, window: Window, now: float) -> None:
-        for times in (window.requests, window.repeats):
+    def _expire(self, window: RetryWindow, now: float) -> None:
+        for times in (window.requests, window.retries):
             while times and now - times[0] > self.window_s:
                 times.popleft()
--- a/fescuekeel/components/forward/caller.py
+++ b/fescuekeel/components/forward/caller.py
@@ -1,4 +1,4 @@
-"""The connection to a caller, for the length of one request."""
+"""The connection to a caller during one request."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -8,7 +8,7 @@
 from tornado.httputil import HTTPHeaders, ResponseStartLine
 from tornado.iostream import StreamClosedError
 
-from fescuekeel.components.forward.const import RETRY_AFTER_S
+from fescuekeel.components.forward.const import DEFAULT_RETRY_AFTER_S
 from fescuekeel.const import HEADER_RETRY_AFTER
 from fescuekeel.errors import Failure
 from fescuekeel.helpers.dialect import Header
@@ -16,45 +16,48 @@
 __all__ = ["CallerConnection", "CallerGoneError"]
 
 FLUSH_POLL_S = 0.01
-FLUSH_POLLS = 200
-# Headers of an endpoint's answer that concern its own connection only.
+MAX_FLUSH_POLLS = 200
+# Hop-by-hop headers of an endpoint's answer.
 CONNECTION_HEADERS = frozenset(
     {"connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade"}
 )
 
 
 class CallerGoneError(Exception):
-    """Say that the caller has closed its connection."""
+    """The caller has closed its connection."""
 
 
 class CallerConnection:
-    """Write one answer; ``last`` asks the caller to close afterwards.
+    """Write one answer to the caller.
 
-    ``begun`` says that the head of the answer has been written.
+    ``is_last`` returns whether to close the connection afterwards.
+    ``started`` is true once the head of the answer has been written.
     """
 
-    def __init__(self, connection: HTTP1Connection, last: Callable[[], bool]) -> None:
-        self.begun = False
+    def __init__(
+        self, connection: HTTP1Connection, is_last: Callable[[], bool]
+    ) -> None:
+        self.started = False
         self._connection = connection
-        self._last = last
+        self._is_last = is_last
         self._closing = False
 
     def on_close(self, callback: Callable[[], None]) -> None:
-        """Call back when the caller closes before the answer is whole."""
+        """Call back if the caller closes before the answer is complete."""
         self._connection.set_close_callback(callback)
 
     async def begin(
         self, status: int, reason: str, headers: Sequence[Header], body: bytes = b""
     ) -> None:
-        """Write the head of an answer, and the body's first bytes."""
+        """Write the head of the answer and the first bytes of its body."""
         written = HTTPHeaders()
         for name, value in headers:
             if name.lower() not in CONNECTION_HEADERS:
                 written.add(name, value)
-        self._closing = self._last()
+        self._closing = self._is_last()
         if self._closing:
             written["Connection"] = "close"
-        self.begun = True
+        self.started = True
         line = ResponseStartLine("HTTP/1.1", status, reason)
         try:
             await self._connection.write_headers(line, written, body or None)
@@ -62,32 +65,32 @@
             raise CallerGoneError from error
 
     async def write(self, data: bytes) -> None:
-        """Write some bytes of the body."""
+        """Write a part of the body."""
         try:
             await self._connection.write(data)
         except StreamClosedError as error:
             raise CallerGoneError from error
 
     async def finish(self) -> None:
-        """End a whole answer."""
+        """Complete the answer."""
         stream = self._connection.stream
         self._connection.finish()
         if self._closing:
             await self._close_when_flushed(stream)
 
     async def _close_when_flushed(self, stream: object) -> None:
-        for _ in range(FLUSH_POLLS):
+        for _ in range(MAX_FLUSH_POLLS):
             if stream.closed() or not stream.writing():  # type: ignore[attr-defined]
                 break
             await asyncio.sleep(FLUSH_POLL_S)
         stream.close()  # type: ignore[attr-defined]
 
-    def break_off(self) -> None:
-        """Close in the middle of an answer, so that it cannot look whole."""
+    def abort(self) -> None:
+        """Close the connection so that the answer is seen as incomplete."""
         self._connection.close()
 
     async def refuse(self, failure: Failure, headers: Sequence[Header]) -> None:
-        """Write an answer of our own."""
+        """Answer with an error generated here."""
         answer = failure.answer
         text = f"{answer.text}\n".encode()
         own = [
@@ -96,7 +99,7 @@
             ("Content-Length", str(len(text))),
         ]
         if answer.retry:
-            wait_s = failure.retry_after_s or RETRY_AFTER_S
+            wait_s = failure.retry_after_s or DEFAULT_RETRY_AFTER_S
             own.append((HEADER_RETRY_AFTER, f"{wait_s:.2f}"))
         await self.begin(answer.status, HTTPStatus(answer.status).phrase, own, text)
         await self.finish()
--- a/fescuekeel/components/forward/choice.py
+++ b/fescuekeel/components/forward/choice.py
@@ -1,26 +1,26 @@
-"""Choose the endpoint of a request; pure."""
+"""Choose an endpoint for a request; pure."""
 
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass
 from enum import StrEnum
 
 from fescuekeel.components.forward.const import (
-    FAR_COST_S,
-    HOMES,
-    LOAD_SLACK_S,
+    CROSS_CENTRE_COST_S,
+    HOME_COST_SLACK_S,
+    HOMES_PER_ADAPTER,
     MAX_COMPARED,
-    SPREAD_WAIT_S,
+    SPREAD_COST_GAP_S,
 )
 from fescuekeel.components.forward.endpoints import EndpointLoad
 from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.published import EndpointRecord, Weights
 from fescuekeel.util import rendezvous
 
-__all__ = ["Choice", "ChoiceReason", "EngineQuestion", "choose_engine", "choose_plain"]
+__all__ = ["Choice", "ChoiceReason", "EngineQuery", "choose_engine", "choose_plain"]
 
 
 class ChoiceReason(StrEnum):
-    """Name why an endpoint was chosen."""
+    """Why an endpoint was chosen."""
 
     LEAST_COST = "least_cost"
     HOLDS = "holds"
@@ -30,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Say where a request goes.
+    """The endpoint chosen for a request.
 
     With ``needs_load`` the weights must be loaded there first. ``spread_to``
-    names an endpoint that should get one more copy. ``version`` is the one
-    that the endpoint must have, ``None`` for a base model.
+    is an endpoint that should load an additional copy. ``version`` is the
+    adapter version that the endpoint must have, ``None`` for a base model.
     """
 
     endpoint: str
@@ -46,13 +46,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineQuestion:
-    """What the choice of an engine endpoint rests on.
+class EngineQuery:
+    """The inputs for choosing an engine endpoint.
 
-    ``newest`` is the newest version that was named of the adapter, 0 if none
-    was, and ``oldest_allowed`` the one that may still serve. Between endpoints
-    that cost as much, the request's own ``key`` decides, so that instances
-    which know as little do not all choose the same one.
+    ``newest`` is the newest published version of the adapter, 0 if there is
+    none, and ``oldest_allowed`` the oldest one that may still serve. ``key``
+    identifies the request and breaks ties between endpoints of equal cost, so
+    that instances without load reports do not all choose the same one.
     """
 
     weights: Weights
@@ -71,7 +71,7 @@
     data_centre: str,
     now: float,
 ) -> Choice | None:
-    """Return the endpoint with the least cost; one nearby, of equal ones."""
+    """Return the endpoint of least cost, preferring the own data centre."""
     candidates = _list_candidates(endpoints_by_id, loads_by_id, tried, now)
     if not candidates:
         return None
@@ -91,14 +91,14 @@
     tried: Collection[str],
     now: float,
 ) -> list[str]:
-    """Leave out what was tried and what is avoided, if others remain."""
-    left = [id for id in endpoints_by_id if id not in tried]
-    sound = [id for id in left if not loads_by_id(id).health.is_avoided(now)]
-    return sound or left
+    """Return the untried endpoints, without avoided ones if any remain."""
+    untried = [id for id in endpoints_by_id if id not in tried]
+    healthy = [id for id in untried if not loads_by_id(id).health.is_avoided(now)]
+    return healthy or untried
 
 
 def choose_engine(
-    question: EngineQuestion,
+    query: EngineQuery,
     endpoints_by_id: Mapping[str, EndpointRecord],
     loads_by_id: Callable[[str], EndpointLoad],
     board: PlacementBoard,
@@ -106,15 +106,15 @@
     full: Collection[str],
     now: float,
 ) -> Choice | None:
-    """Return where a prompt goes, and whether its weights are there.
+    """Return the endpoint for a prompt, and whether to load its weights.
 
-    A base model is everywhere, so that the least cost decides. An adapter's
-    requests go to the cheapest endpoint that holds it. If that one is loaded
-    far above another, that other one should get a copy. Endpoints that have
-    just refused the prompt for their queue are ``full``: while others are
-    there, its weights are loaded at one of them rather than refused.
+    A base model is available everywhere, so the least cost decides. An adapter
+    is served by the cheapest endpoint that holds it; if its cost is far above
+    that of an endpoint without the adapter, the latter should load a copy.
+    Endpoints in ``full`` have just refused the prompt and are used only if
+    there is no other.
     """
-    model = Weights(question.weights.model)
+    model = Weights(query.weights.model)
     usable = {
         id: record
         for id, record in endpoints_by_id.items()
@@ -127,84 +127,84 @@
 
     def estimate_s(id: str) -> float:
         cost_s = loads_by_id(id).estimate_engine_s(
-            question.prompt_tokens, question.slots, board.read_load(id, now), now
+            query.prompt_tokens, query.slots, board.read_load(id, now), now
         )
-        far = endpoints_by_id[id].data_centre != question.data_centre
-        return cost_s + (FAR_COST_S if far else 0.0)
+        far = endpoints_by_id[id].data_centre != query.data_centre
+        return cost_s + (CROSS_CENTRE_COST_S if far else 0.0)
 
-    if not question.weights.adapter:
-        best, cost_s = _choose_cheapest(question, candidates, estimate_s)
+    if not query.weights.adapter:
+        best, cost_s = _choose_cheapest(query, candidates, estimate_s)
         return Choice(best, ChoiceReason.LEAST_COST, cost_s)
     versions_by_id = {
         id: version
         for id in candidates
-        if (version := board.find_version(usable[id], question.weights, now))
-        is not None
+        if (version := board.find_version(usable[id], query.weights, now)) is not None
     }
-    return _choose_for_adapter(question, candidates, versions_by_id, estimate_s)
+    return _choose_for_adapter(query, candidates, versions_by_id, estimate_s)
 
 
 def _choose_cheapest(
-    question: EngineQuestion,
+    query: EngineQuery,
     ids: Collection[str],
     estimate_s: Callable[[str], float],
 ) -> tuple[str, float]:
-    """Return the cheapest of some endpoints, and what it costs.
+    """Return the cheapest endpoint of a sample, and its cost.
 
-    Of many only some are compared, others for each request: the work of one
-    choice does not grow with the number of endpoints, and the best of eight at
-    random is hardly ever a loaded one.
+    The sample differs for each request. Its size is limited, so that the cost
+    of a choice does not grow with the number of endpoints.
     """
-    compared = rendezvous.rank(question.key, ids)[:MAX_COMPARED]
+    compared = rendezvous.rank(query.key, ids)[:MAX_COMPARED]
     costs_by_id = {id: estimate_s(id) for id in compared}
     best = min(compared, key=costs_by_id.__getitem__)
     return best, costs_by_id[best]
 
 
 def _choose_for_adapter(
-    question: EngineQuestion,
+    query: EngineQuery,
     candidates: Collection[str],
     versions_by_id: dict[str, int],
     estimate_s: Callable[[str], float],
 ) -> Choice:
-    current = [id for id, held in versions_by_id.items() if held >= question.newest]
+    current = [id for id, held in versions_by_id.items() if held >= query.newest]
     older = [
         id
         for id, held in versions_by_id.items()
-        if question.oldest_allowed <= held < question.newest
+        if query.oldest_allowed <= held < query.newest
     ]
-    # A copy of a newer version cannot replace an older one that has runs, so
-    # it is made where there is none.
+    # An older version that is in use cannot be replaced in place, so a newer
+    # one is loaded at endpoints without the adapter.
     free = [id for id in candidates if id not in versions_by_id]
-    target = _choose_target(question, free, estimate_s)
+    target = _choose_target(query, free, estimate_s)
     serving = current or older
     if not serving:
-        home, cost_s = target or _choose_cheapest(question, candidates, estimate_s)
-        return Choice(home, ChoiceReason.TO_LOAD, cost_s, True, "", question.newest)
-    best, cost_s = _choose_cheapest(question, serving, estimate_s)
+        home, cost_s = target or _choose_cheapest(query, candidates, estimate_s)
+        return Choice(home, ChoiceReason.TO_LOAD, cost_s, True, "", query.newest)
+    best, cost_s = _choose_cheapest(query, serving, estimate_s)
     reason = ChoiceReason.HOLDS if current else ChoiceReason.OLDER_VERSION
     spread_to = ""
     if target is not None:
         home, home_cost_s = target
-        if not current or cost_s - home_cost_s > SPREAD_WAIT_S:
+        if not current or cost_s - home_cost_s > SPREAD_COST_GAP_S:
             spread_to = home
     return Choice(best, reason, cost_s, False, spread_to, versions_by_id[best])
 
 
 def _choose_target(
-    question: EngineQuestion,
+    query: EngineQuery,
     free: Collection[str],
     estimate_s: Callable[[str], float],
 ) -> tuple[str, float] | None:
-    """Return where a copy is loaded, and what it costs to be served there.
+    """Return the endpoint that should load a copy, and its cost.
 
-    Of all endpoints the first in rank for an adapter are its homes: all
-    instances ask for the same ones, and it comes back to where its last copy
-    may still be at hand. A home that is crowded passes on to the next one.
+    An adapter's homes are its first endpoints by rendezvous hashing. All
+    instances agree on them, and an endpoint that had the adapter before may
+    still have it cached. A congested home is skipped for the next one.
     """
-    homes = rendezvous.rank(str(question.weights), free)[:HOMES]
+    homes = rendezvous.rank(str(query.weights), free)[:HOMES_PER_ADAPTER]
     if not homes:
         return None
     costs_by_id = {id: estimate_s(id) for id in homes}
-    most_s = min(costs_by_id.values()) + LOAD_SLACK_S
-    return next((id, cost_s) for id, cost_s in costs_by_id.items() if cost_s <= most_s)
+    max_cost_s = min(costs_by_id.values()) + HOME_COST_SLACK_S
+    return next(
+        (id, cost_s) for id, cost_s in costs_by_id.items() if cost_s <= max_cost_s
+    )
--- a/fescuekeel/components/forward/component.py
+++ b/fescuekeel/components/forward/component.py
@@ -1,4 +1,4 @@
-"""The forwarder: it owns callers' requests and the pools of connections."""
+"""The forwarder: owns callers' requests and the connection pools."""
 
 import asyncio
 from http import HTTPStatus
@@ -17,15 +17,15 @@
     DEFAULT_TIME_LEFT_S,
     DOMAIN,
     DRAIN_POLL_S,
-    DRAIN_RETRY_S,
+    DRAINING_RETRY_S,
     LOWEST_PRIORITY,
 )
 from fescuekeel.components.forward.endpoints import EndpointLoad
 from fescuekeel.components.forward.gate import AccountGate
-from fescuekeel.components.forward.gauges import BeliefGauges
-from fescuekeel.components.forward.overhead import FirstPieceFit
-from fescuekeel.components.forward.placing import Placer
-from fescuekeel.components.forward.reach import ReachWatch
+from fescuekeel.components.forward.gauges import ForwardingGauges
+from fescuekeel.components.forward.overhead import OverheadEstimator
+from fescuekeel.components.forward.placing import EndpointSelector
+from fescuekeel.components.forward.reach import ReachabilityMonitor
 from fescuekeel.components.forward.records import RequestRecords
 from fescuekeel.components.forward.request import Attempt, ForwardedRequest
 from fescuekeel.components.forward.routes import RouteTable, choose_service
@@ -54,7 +54,7 @@
 
 
 class Forwarder:
-    """Serve callers: find the route, choose the endpoint, pass on."""
+    """Accept requests, route them and forward them to endpoints."""
 
     def __init__(self, instance: Instance) -> None:
         settings = instance.settings
@@ -62,70 +62,76 @@
         self.instance = instance
         self.dialect = get_dialect(instance.settings.platform)
         self.server = CallersServer(self.accept, settings.callers.address)
-        self.ready_server = PageServer({self.dialect.ready_path: self._tell_ready})
+        self.ready_server = PageServer(
+            {self.dialect.ready_path: self._serve_ready_page}
+        )
         self.budget = RetryBudget(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
         )
         self.loads_by_id: dict[str, EndpointLoad] = {}
         self.records = RequestRecords(instance, self.read_version)
-        self._placer = Placer(instance, self.get_load, self._read_cut_off)
-        self._reach = ReachWatch(instance, self.loads_by_id, self._placer.find_record)
+        self._selector = EndpointSelector(instance, self.get_load, self._is_cut_off)
+        self._reachability = ReachabilityMonitor(
+            instance, self.loads_by_id, self._selector.find_record
+        )
         self._use = UseReporter(instance, self.loads_by_id)
         self._pools_by_id: dict[str, ConnectionPool] = {}
-        self._fits_by_service: dict[str, FirstPieceFit] = {}
+        self._overheads_by_service: dict[str, OverheadEstimator] = {}
         self._table: RouteTable | None = None
-        self._open: set[asyncio.Task[None]] = set()
+        self._open_tasks: set[asyncio.Task[None]] = set()
         self._requests: set[ForwardedRequest] = set()
         self._shutdown: Shutdown | None = None
         self._gate = AccountGate(instance)
 
     @property
     def ready(self) -> bool:
-        """Tell whether new requests are welcome."""
-        known = self._table is not None and bool(self._placer.records_by_service)
-        cut_off = self._reach.cut_off or self._knows_too_little()
+        """Return whether this instance is ready for new requests."""
+        known = self._table is not None and bool(self._selector.records_by_service)
+        cut_off = self._reachability.cut_off or self._is_configuration_stale()
         return known and not self.instance.draining and not cut_off
 
     @property
-    def turns_callers_away(self) -> bool:
-        """Tell whether callers are to close their connections."""
-        return self.instance.draining or self._reach.cut_off
+    def closes_connections(self) -> bool:
+        """Return whether connections are closed after their next answer."""
+        return self.instance.draining or self._reachability.cut_off
 
-    def _tell_ready(self) -> Page:
-        """Tell the platform whether this instance wants connections."""
+    def _serve_ready_page(self) -> Page:
+        """Answer the platform's readiness probe."""
         if self.ready:
             return Page()
         return Page(status=HTTPStatus.SERVICE_UNAVAILABLE)
 
-    def _knows_too_little(self) -> bool:
-        """Tell whether requests with keys have to be turned away."""
+    def _is_configuration_stale(self) -> bool:
+        """Return whether requests with keys must be rejected."""
         return self._table is None or self._gate.is_stale(self._table.configuration)
 
     async def start(self) -> None:
-        """Listen."""
+        """Subscribe to updates and start the servers."""
         bus = self.instance.bus
         self._gate.start()
-        bus.subscribe(Catalog, self._take_catalog)
-        bus.subscribe(MemberView, self._note_members)
-        bus.subscribe(SettingsReloaded, self._take_settings)
+        bus.subscribe(Catalog, self._handle_catalog)
+        bus.subscribe(MemberView, self._update_members)
+        bus.subscribe(SettingsReloaded, self._apply_settings)
         self._add_gauges()
         self.server.start()
         bounds = self.instance.settings.forwarding
         self.ready_server.start(bounds.ready_address)
         self.instance.spawn(self._sweep_forever(), f"{DOMAIN}.sweep")
-        self.instance.spawn(self._use.tell_forever(), f"{DOMAIN}.use")
+        self.instance.spawn(self._use.report_forever(), f"{DOMAIN}.use")
         log_event("callers_listening", address=self.server.address)
 
     async def stop(self) -> None:
-        """Serve what still comes for a while, let it end, then close."""
+        """Drain: accept requests for a while, let them end, then close."""
         now = self.instance.now()
         shutdown = Shutdown(now, now + self.instance.settings.instance.shutdown_s)
         self._shutdown = shutdown
-        await asyncio.sleep(shutdown.serves_until - now)
-        while self._open and shutdown.left_s(self.instance.now()) > 0:
-            await asyncio.wait(self._open, timeout=shutdown.left_s(self.instance.now()))
+        await asyncio.sleep(shutdown.accepts_all_until - now)
+        while self._open_tasks and shutdown.left_s(self.instance.now()) > 0:
+            await asyncio.wait(
+                self._open_tasks, timeout=shutdown.left_s(self.instance.now())
+            )
         self._shutdown = shutdown.close(self.instance.now())
-        for task in list(self._open):
+        for task in list(self._open_tasks):
             task.cancel()
         await asyncio.sleep(DRAIN_POLL_S)
         await self.ready_server.stop()
@@ -133,30 +139,30 @@
         for pool in self._pools_by_id.values():
             pool.close()
 
-    def _read_cut_off(self) -> bool:
-        return self._reach.cut_off
+    def _is_cut_off(self) -> bool:
+        return self._reachability.cut_off
 
-    # What others tell.
+    # Updates from other components.
 
-    def _take_catalog(self, catalog: Catalog) -> None:
+    def _handle_catalog(self, catalog: Catalog) -> None:
         configuration = catalog.configuration
         known = self._table.version if self._table is not None else None
         if configuration is not None and configuration.version != known:
             self._table = RouteTable(configuration)
-        self._placer.take_catalog(catalog, self.instance.now())
+        self._selector.update_catalog(catalog, self.instance.now())
 
-    def _take_settings(self, reloaded: SettingsReloaded) -> None:
+    def _apply_settings(self, reloaded: SettingsReloaded) -> None:
         bounds = self.instance.settings.forwarding
         self.budget.ratio = bounds.retry_ratio
         self.budget.slack = bounds.retry_slack
         self.budget.window_s = bounds.retry_window_s
 
-    def _note_members(self, view: MemberView) -> None:
+    def _update_members(self, view: MemberView) -> None:
         known = len(view.members_by_id)
-        # A cut hides instances that go on spending the shared budget.
+        # Partitioned instances still use their part of the retry budget.
         self.budget.instances = max(self.budget.instances, known)
 
-    # Callers.
+    # Requests of callers.
 
     def accept(
         self,
@@ -165,12 +171,12 @@
         headers: HTTPHeaders,
         body: bytes,
     ) -> None:
-        """Begin to serve a request that was read whole."""
-        caller = CallerConnection(connection, lambda: self.turns_callers_away)
+        """Start serving a request that was read completely."""
+        caller = CallerConnection(connection, lambda: self.closes_connections)
         work = self._serve(caller, line, headers, body)
         task = self.instance.spawn(work, f"{DOMAIN}.request")
-        self._open.add(task)
-        task.add_done_callback(self._open.discard)
+        self._open_tasks.add(task)
+        task.add_done_callback(self._open_tasks.discard)
 
     async def _serve(
         self,
@@ -192,14 +198,14 @@
             return
         task = asyncio.current_task()
         assert task is not None
-        caller.on_close(lambda: request.lose_caller(task))
+        caller.on_close(lambda: request.handle_caller_closed(task))
         self._requests.add(request)
         try:
             await request.run()
         finally:
             self._requests.discard(request)
             if request.account is not None and not request.state.sends:
-                self._gate.give_back(request.account, head)
+                self._gate.refund(request.account, head)
 
     async def _admit(
         self,
@@ -218,8 +224,8 @@
         if route is None:
             return Failure(ErrorKind.UNKNOWN_SERVICE, f"{host}{path}")
         shutdown = self._shutdown
-        if shutdown is not None and not shutdown.may_begin(route, arrived):
-            return Failure(ErrorKind.DRAINING, retry_after_s=DRAIN_RETRY_S)
+        if shutdown is not None and not shutdown.may_accept(route, arrived):
+            return Failure(ErrorKind.DRAINING, retry_after_s=DRAINING_RETRY_S)
         account = self.find_account(route, head)
         if isinstance(account, Failure):
             return account
@@ -259,31 +265,31 @@
         except CallerGoneError:
             self.instance.metrics.count("caller_gone")
 
-    # What requests ask for.
+    # Services to requests, see ``RequestHost``.
 
     def find_account(
         self, route: Route, head: CallerHead
     ) -> ClientAccount | Failure | None:
-        """Return whose request it is, by what is in force now."""
+        """Authenticate a request with the current configuration."""
         assert self._table is not None
         return self._gate.find(self._table.configuration, route, head)
 
     def get_load(self, endpoint: str) -> EndpointLoad:
-        """Return what is seen of an endpoint."""
+        """Return the observed load of an endpoint."""
         load = self.loads_by_id.get(endpoint)
         if load is None:
             load = self.loads_by_id[endpoint] = EndpointLoad()
         return load
 
-    def get_fit(self, service: str) -> FirstPieceFit:
-        """Return what is learned of the first pieces of a service."""
-        return self._fits_by_service.setdefault(service, FirstPieceFit())
+    def get_overhead_estimator(self, service: str) -> OverheadEstimator:
+        """Return the estimator of a service's first-chunk overhead."""
+        return self._overheads_by_service.setdefault(service, OverheadEstimator())
 
-    def count_ahead(self, endpoint: str, tokens: int) -> int:
-        """Return the tokens that wait at an engine before a prompt.
+    def count_tokens_ahead(self, endpoint: str, tokens: int) -> int:
+        """Return the tokens queued at an engine ahead of a prompt.
 
-        The holder's count, which has just come with the prompt's turn, has
-        the prompt itself in it.
+        The holder's count, received with the admission, includes the prompt
+        itself.
         """
         own = self.get_load(endpoint).pending_tokens
         board = self.instance.bus.latest(PlacementBoard)
@@ -293,16 +299,16 @@
         return max(own, known.pending_tokens - tokens, 0)
 
     def get_pool(self, endpoint: str) -> ConnectionPool:
-        """Return the connections to an endpoint."""
+        """Return the connection pool of an endpoint."""
         pool = self._pools_by_id.get(endpoint)
         if pool is None:
-            record = self._placer.find_record(endpoint)
+            record = self._selector.find_record(endpoint)
             pool = ConnectionPool(record.address if record else "0.0.0.0:0")
             self._pools_by_id[endpoint] = pool
         return pool
 
     async def open(self, endpoint: str, pool: ConnectionPool) -> Connection:
-        """Open a connection, and learn whether the endpoint is reachable."""
+        """Open a connection, and record whether the endpoint is reachable."""
         health = self.get_load(endpoint).health
         self.instance.metrics.count("endpoint.connections")
         try:
@@ -310,7 +316,7 @@
         except NotConnectedError as error:
             now = self.instance.now()
             health.note_unreachable(now)
-            self._reach.note_missed(endpoint)
+            self._reachability.note_connect_failed(endpoint)
             log_event(
                 "endpoint_unreachable",
                 endpoint=endpoint,
@@ -319,32 +325,32 @@
             )
             raise
         health.note_connected()
-        self._reach.note_reached(endpoint)
+        self._reachability.note_reached(endpoint)
         return connection
 
     def get_priority(self, request: ForwardedRequest) -> int | None:
-        """Return the priority that an engine gets, none at plain services."""
+        """Return the priority for an engine, ``None`` for plain services."""
         if request.weights is None:
             return None
         return min(LOWEST_PRIORITY, max(0, request.priority))
 
-    async def place(self, request: ForwardedRequest) -> Choice | Failure:
-        """Choose an endpoint; wait for its weights and the prompt's turn."""
-        return await self._placer.place(request)
+    async def select_endpoint(self, request: ForwardedRequest) -> Choice | Failure:
+        """Select an endpoint; wait for its weights and for admission."""
+        return await self._selector.select_endpoint(request)
 
     def note_use_ended(self) -> None:
-        """Let holders hear soon that an endpoint's weights are used less."""
+        """Report the end of a use of weights to the holders soon."""
         self._use.note_ended()
 
     def spend_retry(self, request: ForwardedRequest, end: AttemptEnd) -> bool:
-        """Take from the budget; return whether the request may go again."""
+        """Use the retry budget; return whether a retry is allowed."""
         now = self.instance.now()
         allowed = self.budget.spend(request.service, now)
         left = self.budget.count_left(request.service, now)
         self.records.retry(request, end, left, allowed)
         return allowed
 
-    # What requests tell.
+    # Reports of requests.
 
     def note_attempt(
         self,
@@ -353,7 +359,7 @@
         attempt: Attempt,
         end: AttemptEnd | None,
     ) -> None:
-        """Record one attempt, and learn from a misdirection at once."""
+        """Record one attempt; a misdirected one also corrects the board."""
         if end is AttemptEnd.MISDIRECTED and request.weights is not None:
             board = self.instance.bus.latest(PlacementBoard)
             if board is not None:
@@ -369,29 +375,31 @@
         """Record the end of a request."""
         self.records.end(request)
 
-    # What is believed.
+    # Gauges and periodic work.
 
     def _add_gauges(self) -> None:
-        """Show what this instance believes now."""
+        """Register the component's gauges."""
         metrics = self.instance.metrics
         metrics.add_gauge(
             "configuration_version", lambda: {"": float(self.read_version())}
         )
-        BeliefGauges(self.instance, self._placer, self.budget, self.get_load).add()
-        metrics.add_gauge("cut_off", lambda: {"": float(self._reach.cut_off)})
-        metrics.add_gauge("requests_open", lambda: {"": float(len(self._open))})
+        ForwardingGauges(
+            self.instance, self._selector, self.budget, self.get_load
+        ).add()
+        metrics.add_gauge("cut_off", lambda: {"": float(self._reachability.cut_off)})
+        metrics.add_gauge("requests_open", lambda: {"": float(len(self._open_tasks))})
 
     def read_version(self) -> int:
-        """Return the configuration in force, 0 before there is any."""
+        """Return the version of the configuration, 0 if there is none."""
         return self._table.version if self._table else 0
 
     async def _sweep_forever(self) -> None:
         while True:
             await sleep_to_tick(SWEEP_PERIOD_S)
             now = self.instance.now()
-            self._reach.leave_silent_endpoints(self._requests)
-            self._reach.look()
-            known = self._placer.list_endpoints()
+            self._reachability.fail_over_unresponsive(self._requests)
+            self._reachability.update()
+            known = self._selector.list_endpoints()
             for id, pool in list(self._pools_by_id.items()):
                 pool.close_idle(now)
                 if id not in known:
--- a/fescuekeel/components/forward/gate.py
+++ b/fescuekeel/components/forward/gate.py
@@ -1,4 +1,4 @@
-"""Let requests in by their client accounts: keys, their age, and limits."""
+"""Admission of requests by client account: authentication and limits."""
 
 from typing import cast
 
@@ -6,7 +6,7 @@
 from fescuekeel.components.forward.accounts import (
     AccountBounds,
     find_account,
-    is_too_old,
+    is_configuration_stale,
 )
 from fescuekeel.core import Instance
 from fescuekeel.errors import Failure
@@ -18,7 +18,7 @@
 
 
 class AccountGate:
-    """Look accounts up and take what requests cost from their limits."""
+    """Authenticate requests and charge them to their accounts' limits."""
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
@@ -28,18 +28,20 @@
         )
 
     def start(self) -> None:
-        """Take the catalog's word of how fresh it is, from now on."""
+        """Use the catalog's freshness, which it updates in place."""
         self._freshness = self._instance.bus.latest(Freshness) or self._freshness
 
     def is_stale(self, configuration: Configuration) -> bool:
-        """Tell whether requests with keys have to be turned away."""
+        """Return whether requests with keys must be rejected."""
         bounds = self._instance.settings.forwarding
-        return is_too_old(configuration, self._read_age_s(), bounds.revoked_bound_s)
+        return is_configuration_stale(
+            configuration, self._read_age_s(), bounds.revoked_bound_s
+        )
 
     def find(
         self, configuration: Configuration, route: Route, head: CallerHead
     ) -> ClientAccount | Failure | None:
-        """Return whose request it is, by what is in force now."""
+        """Authenticate a request; return its account or a rejection."""
         bounds = self._instance.settings.forwarding
         return find_account(
             configuration,
@@ -50,12 +52,12 @@
         )
 
     async def admit(self, account: ClientAccount, head: CallerHead) -> Failure | None:
-        """Take a request's price from its account's limit, or refuse it."""
+        """Charge a request to its account's limit, or reject it."""
         price = account.price(head.tokens)
         return await self._allowances.admit(head.request_id, account, price)
 
-    def give_back(self, account: ClientAccount, head: CallerHead) -> None:
-        """Take back the price of a request that did not run."""
+    def refund(self, account: ClientAccount, head: CallerHead) -> None:
+        """Refund a request that was not sent."""
         self._allowances.give_back(account, account.price(head.tokens))
 
     def _read_age_s(self) -> float:
--- a/fescuekeel/components/forward/gauges.py
+++ b/fescuekeel/components/forward/gauges.py
@@ -1,34 +1,34 @@
-"""Show scrapers what is believed of members, endpoints and budgets."""
+"""Gauges for members, endpoints and retry budgets."""
 
 from collections import Counter
 from collections.abc import Callable
 
 from fescuekeel.components.forward.budget import RetryBudget
 from fescuekeel.components.forward.endpoints import EndpointLoad
-from fescuekeel.components.forward.placing import Placer
+from fescuekeel.components.forward.placing import EndpointSelector
 from fescuekeel.core import Instance
 from fescuekeel.messages import MemberView
 
-__all__ = ["BeliefGauges"]
+__all__ = ["ForwardingGauges"]
 
 
-class BeliefGauges:
-    """Read beliefs at the moment in which somebody asks for them."""
+class ForwardingGauges:
+    """Compute the gauges when they are scraped."""
 
     def __init__(
         self,
         instance: Instance,
-        placer: Placer,
+        selector: EndpointSelector,
         budget: RetryBudget,
         get_load: Callable[[str], EndpointLoad],
     ) -> None:
         self._instance = instance
-        self._placer = placer
+        self._selector = selector
         self._budget = budget
         self._get_load = get_load
 
     def add(self) -> None:
-        """Add the gauges to the instance's metrics."""
+        """Register the gauges."""
         metrics = self._instance.metrics
         metrics.add_gauge("members", self._read_members)
         metrics.add_gauge("endpoints", self._read_endpoints)
@@ -41,7 +41,7 @@
 
     def _read_endpoints(self) -> dict[str, float]:
         now = self._instance.now()
-        known = self._placer.list_endpoints()
+        known = self._selector.list_endpoints()
         avoided = sum(self._get_load(id).health.is_avoided(now) for id in known)
         return {"ready": float(len(known)), "avoided": float(avoided)}
 
@@ -49,5 +49,5 @@
         now = self._instance.now()
         return {
             service: float(self._budget.count_left(service, now))
-            for service in self._placer.records_by_service
+            for service in self._selector.records_by_service
         }
--- a/fescuekeel/components/forward/holders.py
+++ b/fescuekeel/components/forward/holders.py
@@ -1,4 +1,4 @@
-"""Ask the holder of an endpoint's orders, whoever that is by now."""
+"""Client for endpoints' holders, the instances that issue their orders."""
 
 from fescuekeel.core import Instance
 from fescuekeel.helpers.board import NOT_HOLDER, PlacementBoard
@@ -6,31 +6,33 @@
 from fescuekeel.helpers.peer_link import get_peer_link
 from fescuekeel.messages import AdmitAnswer, AdmitAsk, LoadAnswer, LoadAsk
 
-__all__ = ["HolderLink"]
+__all__ = ["HolderClient"]
 
-# Whoever was asked in vain may name the holder; that one is asked, too. One
-# who does not hold it either has heard as little as we have.
-MAX_ASKED = 2
+# An instance that is not the holder may redirect to it; further redirects are
+# not followed.
+MAX_HOLDERS_ASKED = 2
 
 
-class HolderLink:
-    """Send a question to the holder of an endpoint, as far as it is known."""
+class HolderClient:
+    """Send load and admission requests to the holder of an endpoint."""
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
 
     def find(self, endpoint: str) -> str | None:
-        """Return who would be asked about an endpoint."""
+        """Return the holder of an endpoint, or an instance that knows it."""
         board = self._instance.bus.latest(PlacementBoard)
         return board.find_holder(endpoint, self._instance.now()) if board else None
 
     async def ask_load(self, ask: LoadAsk, timeout_s: float) -> LoadAnswer | None:
-        """Ask for a load; ``None`` if nobody has answered."""
+        """Request a load; return ``None`` if there is no answer."""
         answer = await self._ask(ask, timeout_s)
         return answer if isinstance(answer, LoadAnswer) else None
 
-    async def ask_turn(self, ask: AdmitAsk, timeout_s: float) -> AdmitAnswer | None:
-        """Ask for a prompt's turn; ``None`` if no holder has answered."""
+    async def ask_admission(
+        self, ask: AdmitAsk, timeout_s: float
+    ) -> AdmitAnswer | None:
+        """Request a prompt's admission; return ``None`` without an answer."""
         answer = await self._ask(ask, timeout_s)
         if not isinstance(answer, AdmitAnswer) or answer.reason == NOT_HOLDER:
             return None
@@ -41,12 +43,12 @@
     ) -> LoadAnswer | AdmitAnswer | None:
         answer: LoadAnswer | AdmitAnswer | None = None
         until = self._instance.now() + timeout_s
-        for _ in range(MAX_ASKED):
+        for _ in range(MAX_HOLDERS_ASKED):
             holder = self.find(ask.endpoint)
             if holder is None:
                 break
             answer = await self._ask_one(holder, ask, until)
-            if answer is None or not self._is_elsewhere(ask.endpoint, holder, answer):
+            if answer is None or not self._is_redirect(ask.endpoint, holder, answer):
                 break
         return answer
 
@@ -59,7 +61,8 @@
         answer = answered.value_or(None)
         if isinstance(answer, LoadAnswer | AdmitAnswer):
             return answer
-        # A wait that has ended is no silence: turns and loads may take long.
+        # Loads and admissions may take the whole timeout, so only an earlier
+        # failure shows that the holder does not respond.
         if self._instance.now() < until:
             self._note_silent(holder, ask.endpoint, now)
         return None
@@ -77,10 +80,10 @@
             outcome="not_asked",
         )
 
-    def _is_elsewhere(
+    def _is_redirect(
         self, endpoint: str, asked: str, answer: LoadAnswer | AdmitAnswer
     ) -> bool:
-        """Tell whether another instance was named that is worth asking."""
+        """Return whether the answer redirects to another instance."""
         reason = answer.detail if isinstance(answer, LoadAnswer) else answer.reason
         board = self._instance.bus.latest(PlacementBoard)
         if reason != NOT_HOLDER or board is None:
--- a/fescuekeel/components/forward/host.py
+++ b/fescuekeel/components/forward/host.py
@@ -1,11 +1,11 @@
-"""What a request asks of the forwarder that it runs in."""
+"""The interface of the forwarder to its requests."""
 
 from typing import Protocol, TypeVar
 
 from fescuekeel.components.forward.attempts import AttemptEnd
 from fescuekeel.components.forward.choice import Choice
 from fescuekeel.components.forward.endpoints import EndpointLoad
-from fescuekeel.components.forward.overhead import FirstPieceFit
+from fescuekeel.components.forward.overhead import OverheadEstimator
 from fescuekeel.core import Instance
 from fescuekeel.errors import Failure
 from fescuekeel.helpers.dialect import CallerHead, Dialect
@@ -19,7 +19,7 @@
 
 
 class RequestHost(Protocol[R, A]):
-    """Place requests, send them and record what became of them.
+    """Select endpoints for requests, connect to them and record outcomes.
 
     ``R`` is the type of a request and ``A`` that of one of its attempts.
     """
@@ -32,38 +32,38 @@
     def find_account(
         self, route: Route, head: CallerHead
     ) -> ClientAccount | Failure | None:
-        """Return whose request it is, by what is in force now."""
+        """Authenticate a request with the current configuration."""
 
-    async def place(self, request: R) -> Choice | Failure:
-        """Choose an endpoint; wait for its weights and the prompt's turn."""
+    async def select_endpoint(self, request: R) -> Choice | Failure:
+        """Select an endpoint; wait for its weights and for admission."""
 
     def get_priority(self, request: R) -> int | None:
-        """Return the priority that an engine gets, none at plain services."""
+        """Return the priority for an engine, ``None`` for plain services."""
 
     def spend_retry(self, request: R, end: AttemptEnd) -> bool:
-        """Take from the budget; return whether the request may go again."""
+        """Use the retry budget; return whether a retry is allowed."""
 
     # Endpoints.
 
     def get_load(self, endpoint: str) -> EndpointLoad:
-        """Return what is seen of an endpoint."""
+        """Return the observed load of an endpoint."""
 
-    def get_fit(self, service: str) -> FirstPieceFit:
-        """Return what is learned of the first pieces of a service."""
+    def get_overhead_estimator(self, service: str) -> OverheadEstimator:
+        """Return the estimator of a service's first-chunk overhead."""
 
-    def count_ahead(self, endpoint: str, tokens: int) -> int:
-        """Return the tokens that wait at an engine before a prompt."""
+    def count_tokens_ahead(self, endpoint: str, tokens: int) -> int:
+        """Return the tokens queued at an engine ahead of a prompt."""
 
     def get_pool(self, endpoint: str) -> ConnectionPool:
-        """Return the connections to an endpoint."""
+        """Return the connection pool of an endpoint."""
 
     async def open(self, endpoint: str, pool: ConnectionPool) -> Connection:
-        """Open a connection, and learn whether the endpoint is reachable."""
+        """Open a connection, and record whether the endpoint is reachable."""
 
-    # What requests tell.
+    # Reports of requests.
 
     def note_use_ended(self) -> None:
-        """Let holders hear soon that an endpoint's weights are used less."""
+        """Report the end of a use of weights to the holders soon."""
 
     def note_attempt(
         self, request: R, choice: Choice, attempt: A, end: AttemptEnd | None
--- a/fescuekeel/components/forward/isolation.py
+++ b/fescuekeel/components/forward/isolation.py
@@ -1,12 +1,12 @@
-"""Decide whether this instance is cut off from other data centres; pure."""
+"""Detect that this instance is cut off from other data centres; pure."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from fescuekeel.components.forward.const import (
-    ISOLATION_MEMORY_S,
-    ISOLATION_SILENCE_S,
-    MIN_MISSED_CENTRES,
+    CONNECT_FAILURE_TTL_S,
+    ISOLATION_TIMEOUT_S,
+    MIN_UNREACHABLE_CENTRES,
 )
 
 __all__ = ["Isolation"]
@@ -14,17 +14,16 @@
 
 @dataclass(slots=True)
 class Isolation:
-    """Remember which data centres were reached lately, and which were not.
+    """Track contacts and failed connects by data centre.
 
-    An instance behind a cut still gets callers, and has the endpoints of its
-    own data centre only. Instances elsewhere serve those callers better, and
-    get them once this one says that it is not ready. One lost data centre
-    looks the same from outside as a cut around this one does from within, so
-    that two others at least must be out of reach, and none within it.
+    A partitioned instance can only use the endpoints of its own data centre;
+    when it reports not ready, its callers go to instances elsewhere. With two
+    data centres, a partition looks the same as the loss of the other one, so
+    at least two others must be unreachable, and none reachable.
 
     >>> isolation = Isolation("dc1")
     >>> for centre in ("dc2", "dc3"):
-    ...     isolation.note_missed(centre, now=10.0)
+    ...     isolation.note_connect_failed(centre, now=10.0)
     >>> isolation.is_cut_off(now=10.5)
     True
     >>> isolation.note_reached("dc3", now=10.6)
@@ -33,27 +32,31 @@
     """
 
     data_centre: str
-    _reached: dict[str, float] = field(default_factory=dict)
-    _missed: dict[str, float] = field(default_factory=dict)
+    _last_contact_by_centre: dict[str, float] = field(default_factory=dict)
+    _last_failure_by_centre: dict[str, float] = field(default_factory=dict)
 
     def note_reached(self, data_centre: str, now: float) -> None:
-        """Note that something came from a data centre."""
-        self._reached[data_centre] = max(now, self._reached.get(data_centre, now))
+        """Record contact with a data centre."""
+        self._last_contact_by_centre[data_centre] = max(
+            now, self._last_contact_by_centre.get(data_centre, now)
+        )
 
-    def note_missed(self, data_centre: str, now: float) -> None:
-        """Note that an endpoint of a data centre could not be reached."""
-        self._missed[data_centre] = now
+    def note_connect_failed(self, data_centre: str, now: float) -> None:
+        """Record a failed connect to an endpoint of a data centre."""
+        self._last_failure_by_centre[data_centre] = now
 
     def is_cut_off(self, now: float) -> bool:
-        """Tell whether no other data centre is within reach."""
-        for centre, reached in self._reached.items():
-            if centre != self.data_centre and now - reached <= ISOLATION_SILENCE_S:
+        """Return whether no other data centre is reachable."""
+        for centre, contact in self._last_contact_by_centre.items():
+            if centre != self.data_centre and now - contact <= ISOLATION_TIMEOUT_S:
                 return False
-        return len(list(self._list_missed(now))) >= MIN_MISSED_CENTRES
-
-    def _list_missed(self, now: float) -> Iterable[str]:
-        for centre, missed in self._missed.items():
-            fresh = now - missed <= ISOLATION_MEMORY_S
-            silent_since = missed > self._reached.get(centre, float("-inf"))
-            if centre != self.data_centre and fresh and silent_since:
+        return len(list(self._list_unreachable(now))) >= MIN_UNREACHABLE_CENTRES
+
+    def _list_unreachable(self, now: float) -> Iterable[str]:
+        for centre, failed in self._last_failure_by_centre.items():
+            recent = now - failed <= CONNECT_FAILURE_TTL_S
+            no_contact_since = failed > self._last_contact_by_centre.get(
+                centre, float("-inf")
+            )
+            if centre != self.data_centre and recent and no_contact_since:
                 yield centre
--- a/fescuekeel/components/forward/loading.py
+++ b/fescuekeel/components/forward/loading.py
@@ -1,4 +1,4 @@
-"""Ask the holders of endpoints' orders for loads, each once at a time."""
+"""Request loads of weights from holders, without duplicates."""
 
 import asyncio
 
@@ -7,49 +7,49 @@
     LOWEST_PRIORITY,
     SPREAD_PERIOD_S,
 )
-from fescuekeel.components.forward.holders import HolderLink
+from fescuekeel.components.forward.holders import HolderClient
 from fescuekeel.core import Instance
 from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.logging import log_event
 from fescuekeel.helpers.published import Weights
 from fescuekeel.messages import LoadAsk
 
-__all__ = ["LoadAsker"]
+__all__ = ["LoadRequester"]
 
-Wanted = tuple[str, Weights, int, bool]
+LoadKey = tuple[str, Weights, int, bool]
 
 
-class LoadAsker:
-    """Share one ask among all requests that wait for the same load."""
+class LoadRequester:
+    """Share one load request among all requests that wait for it."""
 
-    def __init__(self, instance: Instance, holders: HolderLink) -> None:
+    def __init__(self, instance: Instance, holders: HolderClient) -> None:
         self._instance = instance
         self._holders = holders
-        self._tasks_by_wanted: dict[Wanted, asyncio.Task[str]] = {}
-        self._spread_at: dict[tuple[str, Weights], float] = {}
+        self._tasks_by_key: dict[LoadKey, asyncio.Task[str]] = {}
+        self._last_spread_by_key: dict[tuple[str, Weights], float] = {}
 
     async def load(self, ask: LoadAsk) -> str:
-        """Have weights loaded; return why not, empty once they are there."""
+        """Load weights; return the reason of a failure, empty if loaded."""
         weights = Weights(ask.model, ask.adapter)
-        wanted = (ask.endpoint, weights, ask.version, ask.patient)
-        task = self._tasks_by_wanted.get(wanted)
+        key = (ask.endpoint, weights, ask.version, ask.patient)
+        task = self._tasks_by_key.get(key)
         if task is None:
             work = self._ask(ask)
             task = self._instance.spawn(work, "forward.load")
-            self._tasks_by_wanted[wanted] = task
-            task.add_done_callback(lambda _: self._tasks_by_wanted.pop(wanted, None))
-        # The others that wait must not lose the ask when one caller leaves.
+            self._tasks_by_key[key] = task
+            task.add_done_callback(lambda _: self._tasks_by_key.pop(key, None))
+        # Other waiters still need the load if this caller disconnects.
         return await asyncio.shield(task)
 
     def spread(self, endpoint: str, weights: Weights, version: int) -> None:
-        """Ask for one more copy, which nobody waits for."""
+        """Request an additional copy in the background."""
         now = self._instance.now()
         key = (endpoint, weights)
-        if now - self._spread_at.get(key, float("-inf")) < SPREAD_PERIOD_S:
+        if now - self._last_spread_by_key.get(key, float("-inf")) < SPREAD_PERIOD_S:
             return
-        if len(self._spread_at) > 1000:
-            self._spread_at.clear()
-        self._spread_at[key] = now
+        if len(self._last_spread_by_key) > 1000:
+            self._last_spread_by_key.clear()
+        self._last_spread_by_key[key] = now
         work = self._ask(
             LoadAsk(
                 endpoint,
--- a/fescuekeel/components/forward/placing.py
+++ b/fescuekeel/components/forward/placing.py
@@ -1,4 +1,4 @@
-"""Find the endpoint of a request, and wait until it may be sent there."""
+"""Select a request's endpoint, and wait until it may be sent there."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,27 +6,27 @@
 
 from fescuekeel.components.forward.choice import (
     Choice,
-    EngineQuestion,
+    EngineQuery,
     choose_engine,
     choose_plain,
 )
 from fescuekeel.components.forward.const import (
+    ADMISSION_GRACE_S,
     LOAD_WAIT_SHARE,
     NO_HOLDER_POLL_S,
     PATIENCE_TARGETS,
-    READING_S,
-    TURN_GRACE_S,
+    PREFILL_S,
 )
 from fescuekeel.components.forward.endpoints import EndpointLoad
-from fescuekeel.components.forward.holders import HolderLink
-from fescuekeel.components.forward.loading import LoadAsker
+from fescuekeel.components.forward.holders import HolderClient
+from fescuekeel.components.forward.loading import LoadRequester
 from fescuekeel.components.forward.request import ForwardedRequest
 from fescuekeel.components.forward.search import (
     Search,
-    refuse_cut_off,
-    refuse_for_load,
+    make_cut_off_failure,
+    make_overload_failure,
 )
-from fescuekeel.components.forward.versions import VersionClock
+from fescuekeel.components.forward.versions import VersionTracker
 from fescuekeel.core import Instance
 from fescuekeel.errors import ErrorKind, Failure
 from fescuekeel.helpers.board import (
@@ -39,11 +39,11 @@
 from fescuekeel.helpers.published import Catalog, EndpointRecord, EngineSpec
 from fescuekeel.messages import AdmitAnswer, AdmitAsk, LoadAsk
 
-__all__ = ["Placer"]
+__all__ = ["EndpointSelector"]
 
 
-class Placer:
-    """Choose endpoints by what the catalog, the board and requests tell."""
+class EndpointSelector:
+    """Select endpoints by the catalog, the placement board and own load."""
 
     def __init__(
         self,
@@ -55,12 +55,12 @@
         self._instance = instance
         self._get_load = get_load
         self._is_cut_off = is_cut_off
-        self._holders = HolderLink(instance)
-        self._asker = LoadAsker(instance, self._holders)
-        self._versions = VersionClock()
+        self._holders = HolderClient(instance)
+        self._load_requester = LoadRequester(instance, self._holders)
+        self._versions = VersionTracker()
 
-    def take_catalog(self, catalog: Catalog, now: float) -> None:
-        """Take what is published now."""
+    def update_catalog(self, catalog: Catalog, now: float) -> None:
+        """Apply a new catalog."""
         by_service: dict[str, dict[str, EndpointRecord]] = {}
         for id, record in catalog.endpoints_by_id.items():
             by_service.setdefault(record.service, {})[id] = record
@@ -68,14 +68,14 @@
         self._versions.update(catalog.versions_by_weights, now)
 
     def find_record(self, endpoint: str) -> EndpointRecord | None:
-        """Return an endpoint that may get work, by its id."""
+        """Return the record of an endpoint that may get requests."""
         for records in self.records_by_service.values():
             if endpoint in records:
                 return records[endpoint]
         return None
 
     def list_endpoints(self) -> set[str]:
-        """Return all endpoints that may get work."""
+        """Return the ids of all endpoints that may get requests."""
         return {id for records in self.records_by_service.values() for id in records}
 
     def _get_engine(self, service: str) -> EngineSpec | None:
@@ -85,24 +85,23 @@
         spec = catalog.configuration.services_by_name.get(service)
         return spec.engine if spec else None
 
-    async def place(self, request: ForwardedRequest) -> Choice | Failure:
-        """Choose an endpoint; wait for its weights and the prompt's turn.
+    async def select_endpoint(self, request: ForwardedRequest) -> Choice | Failure:
+        """Select an endpoint; wait for its weights and for admission.
 
-        A stream that is to go on elsewhere has a patience of its own: its
-        caller, who has read a part, would wait in vain for the rest if the
-        time since its arrival counted.
+        A stream that is resumed gets the full wait again: counted from its
+        arrival, the time would be over and the stream would be cut.
         """
         began = self._instance.now()
-        since = began if request.state.delivered else request.arrived
+        since = began if request.state.answer_started else request.arrived
         until = min(
             since + PATIENCE_TARGETS * request.route.target_s,
             began + LOAD_WAIT_SHARE * (request.deadline - began),
         )
-        result = await self._place_until(request, until)
+        result = await self._select_until(request, until)
         request.waited_s += self._instance.now() - began
         return result
 
-    async def _place_until(
+    async def _select_until(
         self, request: ForwardedRequest, until: float
     ) -> Choice | Failure:
         search = Search(until)
@@ -110,31 +109,30 @@
         while True:
             choice = self._choose(request, search.avoided)
             if choice is None:
-                # Guards against a refusal right before an endpoint is there:
-                # all of a service's were replaced, and the first has its
-                # model in a moment.
+                # Guards against refusals while all endpoints of a service are
+                # replaced and the first is about to be ready.
                 if self._instance.now() >= until:
                     return search.failure
                 await asyncio.sleep(NO_HOLDER_POLL_S)
                 continue
             if choice.needs_load:
-                found = await self._take_load(request, choice, search)
+                found = await self._load_weights(request, choice, search)
             elif request.weights is None:
                 return choice
             else:
-                found = await self._take_turn(request, choice, search)
+                found = await self._admit_prompt(request, choice, search)
             if found is not None:
                 return found
 
-    async def _take_load(
+    async def _load_weights(
         self, request: ForwardedRequest, choice: Choice, search: Search
     ) -> Failure | None:
-        """Have the weights loaded; ``None`` to look again."""
+        """Load the weights; return ``None`` to choose again."""
         if self._is_cut_off():
-            return refuse_cut_off()
+            return make_cut_off_failure()
         asked = self._instance.now()
-        patient = search.waits_at(choice.endpoint)
-        detail = await self._wait_for_load(request, choice, search.until, patient)
+        patient = search.may_queue_at(choice.endpoint)
+        detail = await self._request_load(request, choice, search.until, patient)
         log_event(
             "load_waited",
             request_id=request.head.request_id,
@@ -146,33 +144,33 @@
             outcome=detail or "loaded",
         )
         if detail == NO_ROOM:
-            search.note_crowded(choice.endpoint)
+            search.note_congested(choice.endpoint)
             return None
         if detail == LOADS_WAIT:
-            search.refuse(choice.endpoint)
-        if search.is_over(self._instance.now()):
-            return refuse_for_load(ErrorKind.LOAD_FAILED, detail or "late")
+            search.note_full(choice.endpoint)
+        if search.is_exhausted(self._instance.now()):
+            return make_overload_failure(ErrorKind.LOAD_FAILED, detail or "late")
         if detail:
-            # The next holder may be known in a moment.
+            # A new holder may become known meanwhile.
             await asyncio.sleep(NO_HOLDER_POLL_S)
         return None
 
-    async def _take_turn(
+    async def _admit_prompt(
         self, request: ForwardedRequest, choice: Choice, search: Search
     ) -> Choice | Failure | None:
-        """Wait for the prompt's turn; ``None`` to look again."""
+        """Wait for the prompt's admission; return ``None`` to choose again."""
         self._spread(request, choice)
-        patient = search.waits_at(choice.endpoint)
-        answer = await self._wait_for_turn(request, choice, search.until, patient)
+        patient = search.may_queue_at(choice.endpoint)
+        answer = await self._request_admission(request, choice, search.until, patient)
         if answer is None:
             return choice if self._still_serves(request, choice) else None
         if answer.granted:
-            choice = _take_version(choice, answer)
+            choice = _expect_version(choice, answer)
             return choice if self._still_serves(request, choice) else None
         if answer.reason == NOT_HELD:
             self._note_missing(request, choice)
-        search.note_no_turn(choice.endpoint, answer, patient)
-        return search.failure if search.is_over(self._instance.now()) else None
+        search.note_not_admitted(choice.endpoint, answer, patient)
+        return search.failure if search.is_exhausted(self._instance.now()) else None
 
     def _note_missing(self, request: ForwardedRequest, choice: Choice) -> None:
         board = self._instance.bus.latest(PlacementBoard)
@@ -181,10 +179,10 @@
             board.note_missing(choice.endpoint, request.weights, now)
 
     def _still_serves(self, request: ForwardedRequest, choice: Choice) -> bool:
-        """Look again at what may have changed while a prompt waited.
+        """Return whether the endpoint can serve the prompt after its wait.
 
-        Guards against work for an endpoint that has announced its leaving
-        meanwhile, and against a prompt for an adapter that was told to go.
+        Guards against sending it to an endpoint that has been deregistered, or
+        whose adapter has been unloaded, in the meantime.
         """
         record = self.find_record(choice.endpoint)
         if record is None:
@@ -198,22 +196,22 @@
     def _spread(self, request: ForwardedRequest, choice: Choice) -> None:
         if choice.spread_to and request.weights is not None:
             newest = self._versions.get_newest(request.weights)
-            self._asker.spread(choice.spread_to, request.weights, newest)
+            self._load_requester.spread(choice.spread_to, request.weights, newest)
 
-    async def _wait_for_turn(
+    async def _request_admission(
         self, request: ForwardedRequest, choice: Choice, until: float, patient: bool
     ) -> AdmitAnswer | None:
-        """Wait until the engine's holder lets the prompt go there.
+        """Wait until the endpoint's holder admits the prompt.
 
-        Without a holder, or its answer, the prompt goes at once: pacing is a
-        favour to others' streams and must never lose a request.
+        Without a holder or an answer, the prompt is sent at once: pacing
+        protects other streams and must not fail requests.
         """
         holder = self._holders.find(choice.endpoint)
         if holder is None or request.weights is None:
             return None
         asked = self._instance.now()
-        since = asked if request.state.delivered else request.arrived
-        on_time = since + request.route.target_s - READING_S
+        since = asked if request.state.answer_started else request.arrived
+        on_time = since + request.route.target_s - PREFILL_S
         patience_s = max(0.0, until - asked)
         ask = AdmitAsk(
             choice.endpoint,
@@ -226,7 +224,7 @@
             self._versions.get_oldest_allowed(request.weights, asked),
             patient,
         )
-        answer = await self._holders.ask_turn(ask, patience_s + TURN_GRACE_S)
+        answer = await self._holders.ask_admission(ask, patience_s + ADMISSION_GRACE_S)
         now = self._instance.now()
         self._instance.metrics.observe("turn_wait", now - asked)
         if answer is None:
@@ -239,19 +237,19 @@
                 board.note_held(choice.endpoint, request.weights, answer.version, now)
         return answer
 
-    async def _wait_for_load(
+    async def _request_load(
         self, request: ForwardedRequest, choice: Choice, until: float, patient: bool
     ) -> str:
-        """Ask for a load; return why there is none, empty once it is done.
+        """Request a load; return the reason of a failure, empty if loaded.
 
-        While another endpoint may have a place that is free now, the ask is
-        not ``patient``: a load there takes a quarter of a second, and a place
-        here often frees only after a stream of seconds.
+        With ``patient`` the load may wait for a free place. Otherwise another
+        endpoint is tried first, since a load there is faster than the wait
+        for a running stream here.
         """
         assert request.weights is not None
         now = self._instance.now()
         left_s = max(0.01, until - now)
-        on_time_s = request.arrived + request.route.target_s - READING_S - now
+        on_time_s = request.arrived + request.route.target_s - PREFILL_S - now
         ask = LoadAsk(
             choice.endpoint,
             request.weights.model,
@@ -263,9 +261,9 @@
             patient=patient,
             tokens=request.head.prompt_tokens,
         )
-        asking = self._asker.load(ask)
+        pending_load = self._load_requester.load(ask)
         try:
-            detail = await asyncio.wait_for(asking, left_s)
+            detail = await asyncio.wait_for(pending_load, left_s)
         except TimeoutError:
             return "load takes too long"
         return detail
@@ -274,8 +272,8 @@
         now = self._instance.now()
         records = self.records_by_service.get(request.service, {})
         state = request.state
-        allowed = {id: rec for id, rec in records.items() if state.may_go_to(id)}
-        # After a failure another endpoint is better, where one is allowed.
+        allowed = {id: rec for id, rec in records.items() if state.may_send_to(id)}
+        # After a failure, another endpoint is preferred if one is allowed.
         tried = state.endpoints if len(allowed) > len(state.endpoints) else ()
         engine = self._get_engine(request.service)
         weights = request.weights
@@ -283,7 +281,7 @@
             centre = self._instance.settings.instance.data_centre
             return choose_plain(allowed, self._get_load, tried, centre, now)
         board = self._instance.bus.latest(PlacementBoard) or PlacementBoard()
-        question = EngineQuestion(
+        query = EngineQuery(
             weights,
             request.head.prompt_tokens,
             engine.slots,
@@ -292,14 +290,14 @@
             request.head.request_id,
             self._instance.settings.instance.data_centre,
         )
-        return choose_engine(question, allowed, self._get_load, board, tried, full, now)
+        return choose_engine(query, allowed, self._get_load, board, tried, full, now)
 
 
-def _take_version(choice: Choice, answer: AdmitAnswer) -> Choice:
-    """Expect the version that the holder has just said is there.
+def _expect_version(choice: Choice, answer: AdmitAnswer) -> Choice:
+    """Use the version that the holder has reported with the admission.
 
-    Guards against a refusal by an endpoint whose adapter was replaced by a
-    newer version: what this instance knows of far endpoints is seconds old.
+    Guards against a refusal by an endpoint that has a newer version: what this
+    instance knows of remote endpoints is seconds old.
     """
     if choice.version is None:
         return choice
--- a/fescuekeel/components/forward/reach.py
+++ b/fescuekeel/components/forward/reach.py
@@ -1,4 +1,4 @@
-"""Watch what is within reach: silent endpoints, and other data centres."""
+"""Monitor unresponsive endpoints and contact with other data centres."""
 
 from collections.abc import Callable, Collection
 
@@ -11,14 +11,14 @@
 from fescuekeel.helpers.published import EndpointRecord
 from fescuekeel.messages import MemberView
 
-__all__ = ["ReachWatch"]
+__all__ = ["ReachabilityMonitor"]
 
 
-class ReachWatch:
-    """Take what requests and peers' messages show, and act on it.
+class ReachabilityMonitor:
+    """Derive reachability from connects and messages of peers.
 
-    ``cut_off`` says that no other data centre is within reach: this instance
-    is not ready then, and asks callers to close their connections.
+    ``cut_off`` is true if no other data centre is reachable: this instance is
+    then not ready, and closes callers' connections.
     """
 
     def __init__(
@@ -33,21 +33,23 @@
         self._find_record = find_record
         self._isolation = Isolation(instance.settings.instance.data_centre)
 
-    def note_missed(self, endpoint: str) -> None:
-        """Note that no connection to an endpoint could be made."""
+    def note_connect_failed(self, endpoint: str) -> None:
+        """Record a failed connect to an endpoint."""
         record = self._find_record(endpoint)
         if record is not None:
-            self._isolation.note_missed(record.data_centre, self._instance.now())
+            self._isolation.note_connect_failed(
+                record.data_centre, self._instance.now()
+            )
 
     def note_reached(self, endpoint: str) -> None:
-        """Note that a connection to an endpoint was made."""
+        """Record a successful connect to an endpoint."""
         record = self._find_record(endpoint)
         if record is not None:
             self._isolation.note_reached(record.data_centre, self._instance.now())
 
-    def look(self) -> None:
-        """Find whether this instance is cut off now; tell if that is new."""
-        self._take_news()
+    def update(self) -> None:
+        """Update ``cut_off``, and log a change."""
+        self._update_contacts()
         cut_off = self._isolation.is_cut_off(self._instance.now())
         if cut_off == self.cut_off:
             return
@@ -59,8 +61,8 @@
             outcome="not_ready" if cut_off else "ready",
         )
 
-    def _take_news(self) -> None:
-        """Take what peers have sent as word from their data centres."""
+    def _update_contacts(self) -> None:
+        """Record messages of peers as contact with their data centres."""
         view = self._instance.bus.latest(MemberView) or MemberView()
         heard_by_id = get_peer_link(self._instance).heard_by_id
         for id, heard in heard_by_id.items():
@@ -68,14 +70,16 @@
             if member is not None:
                 self._isolation.note_reached(member.data_centre, heard)
 
-    def leave_silent_endpoints(self, requests: Collection[ForwardedRequest]) -> None:
-        """Take requests that may run twice from endpoints that are silent."""
+    def fail_over_unresponsive(self, requests: Collection[ForwardedRequest]) -> None:
+        """Fail over repeatable requests from unresponsive endpoints."""
         now = self._instance.now()
-        silent = {
-            id for id, load in self._loads_by_id.items() if load.health.is_silent(now)
+        unresponsive = {
+            id
+            for id, load in self._loads_by_id.items()
+            if load.health.is_unresponsive(now)
         }
-        for request in list(requests) if silent else ():
-            endpoint = request.endpoint_now
-            if endpoint in silent and request.leave_silent_endpoint():
+        for request in list(requests) if unresponsive else ():
+            endpoint = request.current_endpoint
+            if endpoint in unresponsive and request.abort_for_failover():
                 self._loads_by_id[endpoint].health.note_unreachable(now)
                 self._instance.metrics.count("left_silent_endpoint")
--- a/fescuekeel/components/forward/records.py
+++ b/fescuekeel/components/forward/records.py
@@ -1,4 +1,4 @@
-"""Write what became of requests into the log and the metrics."""
+"""Log events and metrics of requests."""
 
 from collections.abc import Callable
 
@@ -11,13 +11,13 @@
 
 __all__ = ["RequestRecords"]
 
-# Routes that have histograms of their own, and the label of all others.
+# Routes that have histograms of their own; the others share one label.
 MAX_LABELLED_ROUTES = 12
 OTHER_ROUTES = "other"
 
 
 class RequestRecords:
-    """Log one line for each decision on a request, and count it."""
+    """Log and count each decision on a request."""
 
     def __init__(self, instance: Instance, read_version: Callable[[], int]) -> None:
         self._instance = instance
@@ -25,7 +25,7 @@
         self._labelled_routes: set[str] = set()
 
     def unrouted(self, request_id: str, failure: Failure) -> None:
-        """Record the refusal of a request that has no route yet."""
+        """Record the refusal of a request that was not routed."""
         self._instance.metrics.count(f"refused.{failure.kind}")
         log_event(
             "request_refused",
@@ -39,7 +39,7 @@
     def retry(
         self, request: ForwardedRequest, end: AttemptEnd, left: int, allowed: bool
     ) -> None:
-        """Record the word of the retry budget."""
+        """Record a decision of the retry budget."""
         outcome = "granted" if allowed else "denied"
         self._instance.metrics.count(f"retry.{end}.{outcome}")
         log_event(
@@ -72,7 +72,7 @@
             tokens=attempt.tokens,
             tokens_ahead=attempt.tokens_ahead,
             first_ms=round(attempt.first_s * 1000),
-            took_ms=round((self._instance.now() - attempt.began) * 1000),
+            took_ms=round((self._instance.now() - attempt.started_at) * 1000),
             outcome=outcome,
         )
 
@@ -122,10 +122,10 @@
         )
 
     def _name_route(self, name: str) -> str:
-        """Return a route's label: the first few that come have their own.
+        """Return the label of a route; only the first ones have their own.
 
-        A histogram takes 26 KB, and a configuration may have hundreds of
-        routes.
+        This bounds memory: a histogram takes 26 KB, and a configuration may
+        have hundreds of routes.
         """
         if name in self._labelled_routes:
             return name
--- a/fescuekeel/components/forward/request.py
+++ b/fescuekeel/components/forward/request.py
@@ -1,4 +1,4 @@
-"""The task of one request, from its receipt to its end."""
+"""The handling of one request, from its receipt to its end."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -13,17 +13,17 @@
 from fescuekeel.components.forward.caller import CallerConnection, CallerGoneError
 from fescuekeel.components.forward.choice import Choice
 from fescuekeel.components.forward.const import (
-    KEEP_MARGIN_S,
-    KEEP_UNSAFE_S,
-    KEEP_UNSAID_S,
-    MAX_FIT_WAIT_S,
-    MAX_UNSENT_PAUSE_S,
-    MIN_SEND_S,
-    UNSENT_PAUSE_S,
+    CONNECT_BACKOFF_S,
+    DEFAULT_KEEP_ALIVE_S,
+    KEEP_ALIVE_MARGIN_S,
+    MAX_CONNECT_BACKOFF_S,
+    MAX_SAMPLE_WAIT_S,
+    MAX_UNSAFE_IDLE_S,
+    MIN_TIME_LEFT_S,
 )
 from fescuekeel.components.forward.events import EventSplitter
 from fescuekeel.components.forward.host import RequestHost
-from fescuekeel.components.forward.times import PieceTimes
+from fescuekeel.components.forward.times import ChunkTimes
 from fescuekeel.errors import ErrorKind, Failure
 from fescuekeel.helpers.dialect import AnswerHead, CallerHead, Header, SendHead
 from fescuekeel.helpers.exchange import (
@@ -42,13 +42,13 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One sending of the request to an endpoint."""
+    """One attempt to send the request to an endpoint."""
 
     endpoint: str
-    began: float
+    started_at: float
     tokens: int
     tokens_ahead: int
-    first_piece: bool = False
+    first_chunk_received: bool = False
     first_s: float = -1.0
     head: ResponseHead | None = None
     connection: Connection | None = None
@@ -56,9 +56,10 @@
 
 @dataclass(slots=True, eq=False)
 class ForwardedRequest:
-    """Carry a request to an endpoint and the answer back.
+    """Forward a request to an endpoint and the answer to the caller.
 
-    ``deadline`` is when the final answer is due, in the instance's seconds.
+    ``deadline`` is the time at which the answer must be complete, on the
+    instance's clock.
     """
 
     forwarder: "RequestHost[ForwardedRequest, Attempt]"
@@ -76,11 +77,11 @@
     account: ClientAccount | None = None
     resume_after: str = ""
     outcome: str = ""
-    times: PieceTimes = field(default_factory=PieceTimes)
+    times: ChunkTimes = field(default_factory=ChunkTimes)
     waited_s: float = 0.0
-    _attempt_now: Attempt | None = None
+    _current_attempt: Attempt | None = None
     _splitter: EventSplitter | None = None
-    _closed_by_caller: bool = field(default=False)
+    _caller_closed: bool = field(default=False)
 
     @property
     def weights(self) -> Weights | None:
@@ -89,95 +90,96 @@
 
     @property
     def priority(self) -> int:
-        """Return the urgency: the account's goes before the route's."""
+        """Return the priority; the account's overrides the route's."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
 
     async def run(self) -> None:
-        """Serve the request; every way out gives the caller its final word."""
+        """Serve the request; every exit path answers the caller."""
         instance = self.forwarder.instance
         left_s = self.deadline - instance.now()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
                 await self._serve()
         except TimeoutError:
-            await self._end_late()
+            await self._end_expired()
         except CallerGoneError:
             self.outcome = "caller_gone"
         except asyncio.CancelledError:
-            self.outcome = "caller_gone" if self._closed_by_caller else "stopped"
-            if not self._closed_by_caller:
+            self.outcome = "caller_gone" if self._caller_closed else "stopped"
+            if not self._caller_closed:
                 await self._end_stopped()
         finally:
             self.forwarder.note_end(self)
 
-    def lose_caller(self, task: asyncio.Task[None]) -> None:
-        """Stop the work for a caller that is gone."""
-        self._closed_by_caller = True
+    def handle_caller_closed(self, task: asyncio.Task[None]) -> None:
+        """Cancel the request after its caller has disconnected."""
+        self._caller_closed = True
         task.cancel()
 
-    def leave_silent_endpoint(self) -> bool:
-        """Break the attempt under way off, if another endpoint may go on.
+    def abort_for_failover(self) -> bool:
+        """Abort the current attempt if another endpoint may continue it.
 
-        Guards against a stream that waits for the bytes of an endpoint behind
-        a cut until its caller leaves, four targets later: another endpoint
-        can go on with it from the last event. Returns whether it was left.
+        Guards against a stream that waits for an unreachable endpoint until
+        its caller gives up. Returns whether the attempt was aborted.
         """
-        attempt = self._attempt_now
+        attempt = self._current_attempt
         if attempt is None or attempt.connection is None:
             return False
-        if not self.state.repeatable or not self.state.may_go_elsewhere:
+        if not self.state.repeatable or not self.state.may_try_another_endpoint:
             return False
         attempt.connection.close()
         return True
 
     @property
-    def endpoint_now(self) -> str:
-        """Return the endpoint that the request is at, if any."""
-        return self._attempt_now.endpoint if self._attempt_now else ""
+    def current_endpoint(self) -> str:
+        """Return the endpoint of the current attempt, empty if none."""
+        return self._current_attempt.endpoint if self._current_attempt else ""
 
     async def _serve(self) -> None:
         unsent = 0
         while True:
-            choice = await self.forwarder.place(self)
+            choice = await self.forwarder.select_endpoint(self)
             if isinstance(choice, Failure):
-                await self._refuse_unplaced(choice)
+                await self._refuse_before_attempt(choice)
                 return
-            barred = self._find_bar()
-            if barred is not None:
-                await self._refuse_unplaced(barred)
+            refusal = self._recheck_account()
+            if refusal is not None:
+                await self._refuse_before_attempt(refusal)
                 return
             end = await self._attempt(choice)
             if end is None:
                 return
             step = decide(self.state, end)
-            if step.spends and not self.forwarder.spend_retry(self, end):
+            if step.uses_budget and not self.forwarder.spend_retry(self, end):
                 await self._give_up(step.kind, "budget")
                 return
             if end is AttemptEnd.UNSENT:
-                # Guards against hammering endpoints that all refuse
-                # connections: it shows as a new try every millisecond.
+                # Guards against a busy loop while all endpoints refuse
+                # connections.
                 unsent += 1
-                await asyncio.sleep(min(MAX_UNSENT_PAUSE_S, UNSENT_PAUSE_S * unsent))
-            if step.step in (Step.AGAIN, Step.RESUME):
+                await asyncio.sleep(
+                    min(MAX_CONNECT_BACKOFF_S, CONNECT_BACKOFF_S * unsent)
+                )
+            if step.step in (Step.RETRY, Step.RESUME):
                 continue
             await self._give_up(step.kind, end.value)
             return
 
-    def _find_bar(self) -> Failure | None:
-        """Look again whether the caller's key is good.
+    def _recheck_account(self) -> Failure | None:
+        """Authenticate the request again; return a failure if rejected.
 
-        Guards against a request that waited for its weights or its turn, or
-        in a process that was suspended, while its key was taken away.
+        Guards against sending a request whose key was revoked while it waited
+        for weights or admission, or while the process was suspended.
         """
-        if self.account is None or self.state.delivered:
+        if self.account is None or self.state.answer_started:
             return None
         found = self.forwarder.find_account(self.route, self.head)
         return found if isinstance(found, Failure) else None
 
-    async def _refuse_unplaced(self, failure: Failure) -> None:
-        if self.state.may_have_run and not self.state.delivered:
+    async def _refuse_before_attempt(self, failure: Failure) -> None:
+        if self.state.may_have_run and not self.state.answer_started:
             failure = Failure(ErrorKind.OUTCOME_UNKNOWN, failure.detail)
         await self._fail(failure)
 
@@ -188,8 +190,8 @@
 
     async def _fail(self, failure: Failure) -> None:
         self.outcome = failure.kind.value
-        if self.caller.begun:
-            self.caller.break_off()
+        if self.caller.started:
+            self.caller.abort()
             return
         headers = self.forwarder.dialect.write_refusal(
             self.head.request_id, failure.kind
@@ -197,8 +199,8 @@
         await self.caller.refuse(failure, headers)
         self.forwarder.note_refused(self, failure)
 
-    async def _end_late(self) -> None:
-        """Say that the time is over; only what was not sent "has not run"."""
+    async def _end_expired(self) -> None:
+        """Answer that the deadline has passed; "not run" only if unsent."""
         kind = ErrorKind.EXPIRED if self.state.sends else ErrorKind.TOO_LATE
         try:
             await self._fail(Failure(kind, "timeout"))
@@ -215,23 +217,25 @@
     # One attempt.
 
     async def _attempt(self, choice: Choice) -> AttemptEnd | None:
-        """Send the request once; ``None`` when the caller has its answer."""
+        """Send the request once; return ``None`` if it was answered."""
         now = self.forwarder.instance.now()
-        if self.deadline - now < MIN_SEND_S:
+        if self.deadline - now < MIN_TIME_LEFT_S:
             raise TimeoutError
         load = self.forwarder.get_load(choice.endpoint)
         tokens = self.head.prompt_tokens if self.weights else 0
-        ahead = self.forwarder.count_ahead(choice.endpoint, tokens)
-        attempt = self._attempt_now = Attempt(choice.endpoint, now, tokens, ahead)
+        tokens_ahead = self.forwarder.count_tokens_ahead(choice.endpoint, tokens)
+        attempt = self._current_attempt = Attempt(
+            choice.endpoint, now, tokens, tokens_ahead
+        )
         load.begin(self.weights, tokens)
         load.health.note_sent(now)
         end: AttemptEnd | None = AttemptEnd.BROKEN
         try:
             end = await self._exchange(attempt, choice)
         finally:
-            self._attempt_now = None
+            self._current_attempt = None
             done = self.forwarder.instance.now()
-            left = 0 if attempt.first_piece else tokens
+            left = 0 if attempt.first_chunk_received else tokens
             load.end(self.weights, left)
             self.forwarder.note_use_ended()
             load.health.note_ended(done)
@@ -260,19 +264,21 @@
                 request_id=self.head.request_id,
                 endpoint=attempt.endpoint,
                 kept=not connection.fresh,
-                age_ms=round((self.forwarder.instance.now() - attempt.began) * 1000),
+                age_ms=round(
+                    (self.forwarder.instance.now() - attempt.started_at) * 1000
+                ),
                 error=str(error),
                 outcome=AttemptEnd.BROKEN.value,
             )
             if self._splitter is not None:
-                self._splitter.drop_held()
+                self._splitter.drop_buffered()
             return AttemptEnd.BROKEN
 
     async def _connect(self, endpoint: str) -> Connection:
         pool = self.forwarder.get_pool(endpoint)
-        kept = pool.take(self.forwarder.instance.now())
-        if kept is not None:
-            return kept
+        pooled = pool.take(self.forwarder.instance.now())
+        if pooled is not None:
+            return pooled
         return await self.forwarder.open(endpoint, pool)
 
     def _send(self, connection: Connection, choice: Choice) -> None:
@@ -296,87 +302,87 @@
         self, attempt: Attempt, connection: Connection
     ) -> AttemptEnd | None:
         head = await connection.read_head()
-        self._note_heard(attempt)
+        self._note_received(attempt)
         attempt.head = head
         answer = self.forwarder.dialect.read_answer(head.status, dict(head.headers))
         if answer.request_id and answer.request_id != self.head.request_id:
-            raise AnswerBrokenError("the answer of another request")
+            raise AnswerBrokenError("answer has the id of another request")
         if answer.not_run:
             await self._drain(connection, attempt, answer)
             if answer.misdirected:
                 return AttemptEnd.MISDIRECTED
             return AttemptEnd.NOT_RUN
-        if self._may_try_again(head):
+        if self._may_retry(head):
             await self._drain(connection, attempt, answer)
             return AttemptEnd.FAILED
         await self._pass_on(attempt, connection, head)
-        self._keep(attempt, connection, answer)
+        self._release(attempt, connection, answer)
         return None
 
-    def _may_try_again(self, head: ResponseHead) -> bool:
-        """Tell whether a failure of the endpoint is kept from the caller."""
+    def _may_retry(self, head: ResponseHead) -> bool:
+        """Return whether to retry after an error of the endpoint."""
         if head.status < FAILURE_STATUS:
             return False
-        if self.state.delivered:
+        if self.state.answer_started:
             return True
         if not self.state.repeatable:
             return False
         return len(self.state.endpoints) < self.state.max_attempts
 
-    def _note_heard(self, attempt: Attempt) -> None:
+    def _note_received(self, attempt: Attempt) -> None:
         now = self.forwarder.instance.now()
-        self.forwarder.get_load(attempt.endpoint).health.note_heard(now)
+        self.forwarder.get_load(attempt.endpoint).health.note_received(now)
 
     async def _drain(
         self, connection: Connection, attempt: Attempt, answer: AnswerHead
     ) -> None:
-        """Read the rest of an answer that is not passed on."""
+        """Read the rest of an answer that is not forwarded."""
         while await connection.read_piece() is not None:
-            self._note_heard(attempt)
-        self._keep(attempt, connection, answer)
+            self._note_received(attempt)
+        self._release(attempt, connection, answer)
 
-    def _keep(
+    def _release(
         self, attempt: Attempt, connection: Connection, answer: AnswerHead
     ) -> None:
         attempt.connection = None
         if not connection.finish():
             return
-        idle_s = KEEP_UNSAID_S
+        idle_s = DEFAULT_KEEP_ALIVE_S
         if answer.idle_s is not None:
-            idle_s = max(0.0, answer.idle_s - KEEP_MARGIN_S)
+            idle_s = max(0.0, answer.idle_s - KEEP_ALIVE_MARGIN_S)
         if not self.state.safe:
-            idle_s = min(idle_s, KEEP_UNSAFE_S)
+            idle_s = min(idle_s, MAX_UNSAFE_IDLE_S)
         pool = self.forwarder.get_pool(attempt.endpoint)
         pool.give_back(connection, self.forwarder.instance.now() + idle_s)
 
-    # Passing the answer on.
+    # Forwarding the answer.
 
     async def _pass_on(
         self, attempt: Attempt, connection: Connection, head: ResponseHead
     ) -> None:
         if self.state.resumable and head.status == HTTPStatus.OK:
             self._splitter = self._splitter or EventSplitter()
-        if not self.state.delivered:
+        if not self.state.answer_started:
             await self._begin(head)
         elif head.status != HTTPStatus.OK:
-            raise AnswerBrokenError(f"status {head.status} to a resumed stream")
+            raise AnswerBrokenError(f"status {head.status} for a resumed stream")
         while (piece := await connection.read_piece()) is not None:
-            self._note_heard(attempt)
-            self._note_piece(attempt)
+            self._note_received(attempt)
+            self._note_chunk(attempt)
             data = piece.data
             if self._splitter is not None:
                 data = self._splitter.feed(data)
                 self.resume_after = self._splitter.last_id
             if data:
                 await self.caller.write(data)
-        if self._splitter is not None and self._splitter.held:
-            raise AnswerBrokenError("the stream ends within an event")
+        if self._splitter is not None and self._splitter.buffered:
+            raise AnswerBrokenError("stream ended within an event")
         self.outcome = "answered"
         self.state.may_have_run = True
         await self.caller.finish()
 
     async def _begin(self, head: ResponseHead) -> None:
-        self.state.delivered = True
+        self.state.answer_started = True
         phrase = "OK"
         try:
             phrase = HTTPStatus(head.status).phrase
@@ -384,22 +390,22 @@
             phrase = "Answer"
         await self.caller.begin(head.status, phrase, head.headers)
 
-    def _note_piece(self, attempt: Attempt) -> None:
+    def _note_chunk(self, attempt: Attempt) -> None:
         now = self.forwarder.instance.now()
         load = self.forwarder.get_load(attempt.endpoint)
-        gap_s = self.times.note(now, attempt.first_piece)
+        gap_s = self.times.note(now, attempt.first_chunk_received)
         if gap_s and self.route.gap_target_s:
             load.note_pause(gap_s / self.route.gap_target_s)
-        if attempt.first_piece:
+        if attempt.first_chunk_received:
             return
-        attempt.first_piece = True
-        wait_s = now - attempt.began
+        attempt.first_chunk_received = True
+        wait_s = now - attempt.started_at
         attempt.first_s = wait_s
-        fit = self.forwarder.get_fit(self.service)
-        load.note_first_piece(
-            attempt.tokens, attempt.tokens_ahead, wait_s, fit.overhead_s, now
+        estimator = self.forwarder.get_overhead_estimator(self.service)
+        load.note_first_chunk(
+            attempt.tokens, attempt.tokens_ahead, wait_s, estimator.overhead_s, now
         )
-        if attempt.tokens and wait_s < MAX_FIT_WAIT_S:
-            fit.note(attempt.tokens, wait_s)
+        if attempt.tokens and wait_s < MAX_SAMPLE_WAIT_S:
+            estimator.note(attempt.tokens, wait_s)
         if self.route.kind is not RouteKind.STREAM:
             load.note_service(wait_s)
--- a/fescuekeel/components/forward/routes.py
+++ b/fescuekeel/components/forward/routes.py
@@ -1,4 +1,4 @@
-"""Find a request's route and service in the configuration."""
+"""Match requests to routes and services of the configuration."""
 
 from collections import defaultdict
 
@@ -12,11 +12,7 @@
 
 
 class RouteTable:
-    """Index the routes of one configuration by host, the longest prefix first.
-
-    A configuration has hundreds of routes, and a request looks at those of its
-    host only.
-    """
+    """Index the routes of a configuration by host, longest prefix first."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
@@ -28,7 +24,7 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest prefix of the path."""
         name = host.rsplit(":", 1)[0] if ":" in host else host
         for route in self._routes_by_host.get(name.lower(), ()):
             if path.startswith(route.prefix):
@@ -37,7 +33,7 @@
 
 
 def choose_service(route: Route, request_id: str) -> str:
-    """Return one of the route's services, by weight and the request's id."""
+    """Return a service of the route, by weight and hash of the request id."""
     total = sum(target.weight for target in route.targets)
     if len(route.targets) == 1 or total <= 0:
         return route.targets[0].service
--- a/fescuekeel/components/forward/server.py
+++ b/fescuekeel/components/forward/server.py
@@ -1,4 +1,4 @@
-"""The server that callers connect to."""
+"""The HTTP server for callers."""
 
 import asyncio
 import contextlib
@@ -23,12 +23,12 @@
 
 __all__ = ["CallersServer"]
 
-# Takes a request that was read whole.
+# Callback for a request that was read completely.
 Accept = Callable[[HTTP1Connection, RequestStartLine, HTTPHeaders, bytes], None]
 
 
 class RequestReader(HTTPMessageDelegate):
-    """Read one request whole, then hand it over."""
+    """Read one request completely, then pass it to the callback."""
 
     def __init__(self, accept: Accept, connection: HTTP1Connection) -> None:
         self._accept = accept
@@ -40,27 +40,27 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Keep the head."""
+        """Store the request line and the headers."""
         assert isinstance(start_line, RequestStartLine)
         self._line = start_line
         self._headers = headers
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a piece of the body."""
+        """Append a chunk to the body."""
         self._body += chunk
 
     def finish(self) -> None:
-        """Hand the whole request over."""
+        """Pass the complete request to the callback."""
         assert self._line is not None
         self._accept(self._connection, self._line, self._headers, bytes(self._body))
 
     def on_connection_close(self) -> None:
-        """Drop a request that was never whole."""
+        """Discard an incomplete request."""
         self._body.clear()
 
 
 class CallersServer(HTTPServerConnectionDelegate):
-    """Own the callers' listening socket."""
+    """Accept callers' connections and read their requests."""
 
     def __init__(self, accept: Accept, address: str) -> None:
         self.address = address
@@ -74,23 +74,23 @@
         )
 
     def start(self) -> None:
-        """Listen; port 0 takes a free one, which ``address`` then shows."""
+        """Start listening; with port 0, ``address`` has the chosen port."""
         sockets, self.address = bind_address(self.address)
         self._server.add_sockets(sockets)
 
     def start_request(
         self, server_conn: object, request_conn: object
     ) -> HTTPMessageDelegate:
-        """Read the next request of a connection."""
+        """Return a reader for the next request of a connection."""
         assert isinstance(request_conn, HTTP1Connection)
         return RequestReader(self._accept, request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a connection."""
+        """Remove a connection that was closed."""
         self._server.on_close(server_conn)
 
     async def stop(self) -> None:
-        """Close the socket and every connection."""
+        """Close the listening socket and all connections."""
         self._server.stop()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(0.5):
@@ -98,7 +98,7 @@
 
 
 class _DelegateServer(HTTPServer):
-    """Serve through a delegate, which gives the bytes as they came."""
+    """An HTTP server that leaves the reading of requests to a delegate."""
 
     def initialize(self, delegate: CallersServer, **kwargs: object) -> None:  # type: ignore[override]
         super().initialize(lambda request: None, **kwargs)  # type: ignore[arg-type]
--- a/fescuekeel/components/forward/shutdown.py
+++ b/fescuekeel/components/forward/shutdown.py
@@ -1,4 +1,4 @@
-"""Decide which requests still begin while this instance shuts down; pure."""
+"""Decide which requests are accepted during a shutdown; pure."""
 
 from dataclasses import dataclass
 
@@ -10,46 +10,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Shutdown:
-    """Hold when a shutdown began and when the process must be gone.
+    """The start of a shutdown and the time at which the process must exit.
 
-    >>> Shutdown(began=10.0, ends=17.2).left_s(12.2)
+    >>> Shutdown(started_at=10.0, ends_at=17.2).left_s(12.2)
     5.0
     """
 
-    began: float
-    ends: float
+    started_at: float
+    ends_at: float
 
     def left_s(self, now: float) -> float:
-        """Return the seconds that are left, none below zero."""
-        return max(0.0, self.ends - now)
+        """Return the remaining seconds, at least zero."""
+        return max(0.0, self.ends_at - now)
 
     @property
-    def serves_until(self) -> float:
-        """Return until when all requests are served.
+    def accepts_all_until(self) -> float:
+        """Return the time until which all requests are accepted.
 
-        Guards against a stream that begins in the last moment of a short
-        shutdown: it showed as an answer that was cut when the process left.
+        At most half of the shutdown, so that a stream that starts late is not
+        cut at the exit of the process.
         """
-        half_s = (self.ends - self.began) / 2
-        return self.began + min(DRAIN_SERVE_S, half_s)
+        half_s = (self.ends_at - self.started_at) / 2
+        return self.started_at + min(DRAIN_SERVE_S, half_s)
 
     def close(self, now: float) -> "Shutdown":
-        """Return the same shutdown with no time left.
+        """Return this shutdown with no time left.
 
-        Guards against a request that comes while the process is closing its
-        connections, since nothing was under way any more: it showed as one
-        that an endpoint ran and whose caller got no answer.
+        Guards against accepting a request while connections are closed: an
+        endpoint would run it, and its caller would get no answer.
         """
-        return Shutdown(self.began, now)
+        return Shutdown(self.started_at, now)
 
-    def may_begin(self, route: Route, now: float) -> bool:
-        """Tell whether a request will be over before the process is gone.
+    def may_accept(self, route: Route, now: float) -> bool:
+        """Return whether a request is accepted.
 
-        At first all are served, since the platform goes on sending them until
-        its probes have failed. Callers on kept connections come even later: a
-        stream may outlast the shutdown then, a short request still fits.
+        At first all are, since the platform sends requests until its probes
+        have failed. Later ones come on keep-alive connections and are accepted
+        if they end in time; a stream may not.
         """
-        if now <= self.serves_until:
+        if now <= self.accepts_all_until:
             return True
         if route.kind is RouteKind.STREAM:
             return False
--- a/fescuekeel/components/forward/times.py
+++ b/fescuekeel/components/forward/times.py
@@ -1,18 +1,18 @@
-"""When the pieces of an answer came; pure."""
+"""Arrival times of the chunks of an answer; pure."""
 
 from dataclasses import dataclass
 
-__all__ = ["PieceTimes"]
+__all__ = ["ChunkTimes"]
 
 
 @dataclass(slots=True)
-class PieceTimes:
-    """Hold the first piece's time, and the longest pause between two.
+class ChunkTimes:
+    """The arrival of the first chunk, and the longest gap between two.
 
-    Over all attempts, in the instance's seconds; zero is before any piece.
+    Over all attempts, on the instance's clock; zero before the first chunk.
 
-    >>> times = PieceTimes()
-    >>> [times.note(now, begun) for now, begun in ((5.0, False), (5.5, True))]
+    >>> times = ChunkTimes()
+    >>> [times.note(now, more) for now, more in ((5.0, False), (5.5, True))]
     [0.0, 0.5]
     >>> times.first_at, times.longest_gap_s, times.longest_gap_at
     (5.0, 0.5, 5.0)
@@ -23,13 +23,13 @@
     longest_gap_s: float = 0.0
     longest_gap_at: float = 0.0
 
-    def note(self, now: float, begun: bool) -> float:
-        """Note a piece; return the pause before it, zero at a beginning.
+    def note(self, now: float, started: bool) -> float:
+        """Record a chunk; return the gap before it, zero if it is the first.
 
-        ``begun`` says that the attempt has had a piece before: what lies
-        between two attempts is no pause of an endpoint.
+        ``started`` is true if the attempt has had a chunk before: the time
+        between two attempts is not a gap of an endpoint.
         """
-        gap_s = now - self.last_at if begun and self.last_at else 0.0
+        gap_s = now - self.last_at if started and self.last_at else 0.0
         if gap_s > self.longest_gap_s:
             self.longest_gap_s = gap_s
             self.longest_gap_at = self.last_at
--- a/fescuekeel/components/forward/use.py
+++ b/fescuekeel/components/forward/use.py
@@ -1,4 +1,4 @@
-"""Tell the holders of endpoints' orders how this instance uses them."""
+"""Report this instance's use of endpoints to their holders."""
 
 import asyncio
 import contextlib
@@ -13,47 +13,48 @@
 
 __all__ = ["UseReporter"]
 
-# A use that began is told within this time; until then the holder counts the
-# prompt's turn.
+# The report interval for new uses; until then the holder counts the prompt's
+# admission as a use.
 USE_PERIOD_S = 0.25
-# A use that has ended is told within this time: its place may be waited for.
-USE_ENDED_S = 0.03
-# A pause of at least this share of what its route allows is told at once.
-TOLD_PAUSE = 0.8
-# What has not changed is told again this often: half of the time for which a
-# holder believes it.
+# The end of a use is reported sooner: a load may wait for its place.
+ENDED_REPORT_DELAY_S = 0.03
+# Pauses of at least this share of their route's target are reported, even if
+# nothing else has changed.
+MIN_REPORTED_PAUSE = 0.8
+# Unchanged uses are repeated after half of the time for which a holder keeps
+# them.
 REPEAT_PERIOD_S = 1.0
 
 
 class UseReporter:
-    """Send what has changed, and what runs, at a steady pace."""
+    """Send changed uses at a fixed interval, and repeat unchanged ones."""
 
     def __init__(self, instance: Instance, loads_by_id: dict[str, EndpointLoad]):
         self._instance = instance
         self._loads_by_id = loads_by_id
         self._due = float("inf")
-        self._woken = asyncio.Event()
+        self._due_changed = asyncio.Event()
 
-    async def tell_forever(self) -> None:
-        """Tell all holders what has changed, when it is due."""
+    async def report_forever(self) -> None:
+        """Report to all holders whenever a report is due."""
         while True:
             wait_s = get_next_tick_s(USE_PERIOD_S, asyncio.get_running_loop().time())
             self._due = self._instance.now() + wait_s
             while (left_s := self._due - self._instance.now()) > 0:
-                self._woken.clear()
+                self._due_changed.clear()
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(left_s):
-                        await self._woken.wait()
-            self._tell()
+                        await self._due_changed.wait()
+            self._report()
 
     def note_ended(self) -> None:
-        """Tell soon: a request has ended."""
-        due = self._instance.now() + USE_ENDED_S
+        """Bring the next report forward: a request has ended."""
+        due = self._instance.now() + ENDED_REPORT_DELAY_S
         if due < self._due:
             self._due = due
-            self._woken.set()
+            self._due_changed.set()
 
-    def _tell(self) -> None:
+    def _report(self) -> None:
         board = self._instance.bus.latest(PlacementBoard)
         if board is None:
             return
@@ -70,33 +71,31 @@
 
 
 def make_use(endpoint: str, load: EndpointLoad, now: float) -> EndpointUse | None:
-    """Return what is to be told of an endpoint; ``None`` if nothing is.
+    """Return the report for an endpoint, or ``None`` if none is due.
 
-    What has not changed is told again from time to time only: the holder
-    forgets it after two seconds. What is told is remembered, so that it is
-    not counted twice when the holder tells all instances the sum.
+    Unchanged uses are repeated before the holder's copy expires. What was
+    reported is stored, so that it can be subtracted from the totals that the
+    holder sends to all instances.
 
-    A use that has ended is told as none. Guards against a place that is held
-    for the two seconds in which the holder believes the last word: it showed
-    as loads that waited for a place for 0.45 s at the median and over a second
-    in a quarter of all cases, while half of the places were idle.
+    The end of a use is reported as zero. Otherwise its place would stay
+    occupied until the holder's copy expires, and loads would wait for it.
     """
-    same = load.running_by_weights == load.told_by_weights
-    idle = not load.running and not load.told_running
-    recent = now - load.told_at < REPEAT_PERIOD_S
-    paused = load.longest_pause >= TOLD_PAUSE
-    if same and not load.begun_by_weights and (idle or recent) and not paused:
+    same = load.running_by_weights == load.reported_by_weights
+    idle = not load.running and not load.reported_running
+    recent = now - load.reported_at < REPEAT_PERIOD_S
+    paused = load.longest_pause >= MIN_REPORTED_PAUSE
+    if same and not load.started_by_weights and (idle or recent) and not paused:
         return None
-    ended = load.told_by_weights.keys() - load.running_by_weights.keys()
-    weights = ended | load.running_by_weights.keys() | load.begun_by_weights.keys()
-    load.told_at = now
-    load.told_by_weights = dict(load.running_by_weights)
+    ended = load.reported_by_weights.keys() - load.running_by_weights.keys()
+    weights = ended | load.running_by_weights.keys() | load.started_by_weights.keys()
+    load.reported_at = now
+    load.reported_by_weights = dict(load.running_by_weights)
     uses = tuple(
         WeightUse(
             item.model,
             item.adapter,
             load.running_by_weights.get(item, 0),
-            load.begun_by_weights.get(item, 0),
+            load.started_by_weights.get(item, 0),
         )
         for item in weights
     )
@@ -104,6 +103,6 @@
     pause_percent = int(100 * load.longest_pause)
     load.longest_pause = 0.0
     load.speeds.clear()
-    load.begun_by_weights.clear()
-    load.told_running = max(0, load.running)
-    return EndpointUse(endpoint, load.told_running, uses, speed, pause_percent)
+    load.started_by_weights.clear()
+    load.reported_running = max(0, load.running)
+    return EndpointUse(endpoint, load.reported_running, uses, speed, pause_percent)
--- a/fescuekeel/components/forward/versions.py
+++ b/fescuekeel/components/forward/versions.py
@@ -1,39 +1,39 @@
-"""Which version of an adapter a request may be served by."""
+"""The adapter versions that may serve requests."""
 
 from dataclasses import dataclass, field
 
 from fescuekeel.components.forward.const import VERSION_GRACE_S
 from fescuekeel.helpers.published import Weights
 
-__all__ = ["VersionClock"]
+__all__ = ["VersionTracker"]
 
 
 @dataclass(slots=True)
-class VersionClock:
-    """Remember when each new version was first seen here.
+class VersionTracker:
+    """Track when each new version was first seen.
 
-    For a short time after a version was named the one before it may serve, so
-    that its callers need not wait for the load.
+    For a short time after a version is published, the previous one may serve,
+    so that callers need not wait for the load.
     """
 
-    _newest: dict[Weights, int] = field(default_factory=dict)
-    _before: dict[Weights, tuple[int, float]] = field(default_factory=dict)
+    _newest_by_weights: dict[Weights, int] = field(default_factory=dict)
+    _previous_by_weights: dict[Weights, tuple[int, float]] = field(default_factory=dict)
 
     def update(self, versions_by_weights: dict[Weights, int], now: float) -> None:
-        """Take the newest versions that are published."""
+        """Apply the newest published versions."""
         for weights, version in versions_by_weights.items():
-            known = self._newest.get(weights, 0)
+            known = self._newest_by_weights.get(weights, 0)
             if version > known:
-                self._newest[weights] = version
-                self._before[weights] = (known, now)
+                self._newest_by_weights[weights] = version
+                self._previous_by_weights[weights] = (known, now)
 
     def get_newest(self, weights: Weights) -> int:
-        """Return the newest version that was named, 0 if none was."""
-        return self._newest.get(weights, 0)
+        """Return the newest published version, 0 if there is none."""
+        return self._newest_by_weights.get(weights, 0)
 
     def get_oldest_allowed(self, weights: Weights, now: float) -> int:
         """Return the oldest version that may still serve."""
-        before, seen = self._before.get(weights, (0, float("-inf")))
-        if now - seen < VERSION_GRACE_S:
-            return before
+        previous, seen_at = self._previous_by_weights.get(weights, (0, float("-inf")))
+        if now - seen_at < VERSION_GRACE_S:
+            return previous
         return self.get_newest(weights)
--- a/tests/components/forward/__init__.py
+++ b/tests/components/forward/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the component."""
+"""Tests of the forward component."""
--- a/tests/components/forward/test_accounts.py
+++ b/tests/components/forward/test_accounts.py
@@ -1,11 +1,11 @@
-"""Tests of whose request it is."""
+"""Tests of authentication by key."""
 
 import pytest
 
 from fescuekeel.components.forward.accounts import (
     AccountBounds,
     find_account,
-    is_too_old,
+    is_configuration_stale,
 )
 from fescuekeel.errors import ErrorKind, Failure
 from fescuekeel.helpers.published import (
@@ -21,7 +21,7 @@
 SHOP = ClientAccount("shop")
 KEY = digest_key("a-key")
 OTHER = digest_key("another-key")
-BOUNDS = AccountBounds(change_s=3.0, revoked_s=5.0)
+BOUNDS = AccountBounds(change_bound_s=3.0, revoked_bound_s=5.0)
 
 
 def make_route(**changes):
@@ -52,51 +52,51 @@
 
 
 class TestKeys:
-    def test_a_known_key_names_its_account(self):
+    def test_known_key_yields_its_account(self):
         assert find() is SHOP
 
-    def test_an_unknown_key_is_refused(self):
-        """Anybody who made a key up was served, at the others' cost."""
+    def test_unknown_or_missing_key_is_rejected(self):
+        """Guards against serving callers with made-up keys."""
         assert find(digest=OTHER) is ErrorKind.UNAUTHENTICATED
         assert find(digest=b"") is ErrorKind.UNAUTHENTICATED
 
-    def test_an_open_route_asks_for_none(self):
+    def test_open_route_requires_no_key(self):
         assert find(digest=b"", open=True) is None
         assert find(digest=OTHER, age_s=60.0, open=True) is None
         assert find(open=True) is SHOP
 
-    def test_without_accounts_nobody_needs_a_key(self):
+    def test_no_key_is_required_without_accounts(self):
         assert find(UNKEYED, b"", age_s=60.0) is None
 
 
 class TestAge:
-    def test_a_key_taken_away_is_served_nowhere_past_the_bound(self):
-        """A key was taken away, and was served for minutes.
+    def test_revoked_key_is_rejected_past_the_bound(self):
+        """Guards against accepting a revoked key for minutes.
 
-        The instance was cut off from the store and from all peers just
-        before, and what it knew was in force as far as it could tell.
+        An instance that is partitioned from the store and all peers does not
+        learn of the revocation.
         """
-        assert find(age_s=BOUNDS.revoked_s) is ErrorKind.CONFIGURATION_STALE
+        assert find(age_s=BOUNDS.revoked_bound_s) is ErrorKind.CONFIGURATION_STALE
         assert find(age_s=1000.0) is ErrorKind.CONFIGURATION_STALE
 
-    def test_a_new_key_is_not_called_unknown_by_who_may_have_missed_it(self):
-        """A caller with a key of today gave up for good after a 401.
+    def test_possibly_missed_new_key_gets_no_401(self):
+        """Guards against a permanent error for a new key.
 
-        The instance had been cut off when the key was published.
+        The instance was partitioned when the key was published.
         """
-        bounds = AccountBounds(change_s=2.0, revoked_s=0.0)
+        bounds = AccountBounds(change_bound_s=2.0, revoked_bound_s=0.0)
         for age_s, known in ((0.5, True), (3.0, True), (4.1, False), (60.0, False)):
             found = find_account(KEYED, make_route(), OTHER, age_s, bounds)
             kind = ErrorKind.UNAUTHENTICATED if known else ErrorKind.CONFIGURATION_STALE
             assert found.kind is kind
 
-    def test_a_refusal_says_truthfully_when_to_come_again(self):
+    def test_stale_configuration_yields_503_with_retry_after(self):
         found = find_account(KEYED, make_route(), KEY, 60.0, BOUNDS)
         assert found.answer.status == 503
         assert found.retry_after_s > 0
 
     @pytest.mark.parametrize(
-        ("configuration", "revoked_s"), [(UNKEYED, 5.0), (KEYED, 0.0)]
+        ("configuration", "revoked_bound_s"), [(UNKEYED, 5.0), (KEYED, 0.0)]
     )
-    def test_without_keys_or_bound_no_age_matters(self, configuration, revoked_s):
-        assert not is_too_old(configuration, 1000.0, revoked_s)
+    def test_age_is_ignored_without_keys_or_bound(self, configuration, revoked_bound_s):
+        assert not is_configuration_stale(configuration, 1000.0, revoked_bound_s)
--- a/tests/components/forward/test_attempts.py
+++ b/tests/components/forward/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of what becomes of a request after each attempt."""
+"""Tests of the next step after each attempt."""
 
 import hypothesis.strategies as st
 from hypothesis import given
@@ -22,64 +22,63 @@
 
 
 class TestUnsafeRequest:
-    def test_broken_answer_is_not_sent_again(self):
-        """A charge was made twice.
+    def test_no_retry_after_broken_answer(self):
+        """Guards against running an unsafe request twice.
 
-        The endpoint ran the request and its answer was lost with the
-        connection; the request was sent to another endpoint.
+        The endpoint may have run it although its answer was lost.
         """
         step = decide(make_state(max_attempts=3), AttemptEnd.BROKEN)
         assert step.step is Step.FAIL
         assert step.kind is ErrorKind.OUTCOME_UNKNOWN
 
-    def test_word_that_it_did_not_run_lets_it_go_again(self):
+    def test_retry_if_the_endpoint_reports_not_run(self):
         step = decide(make_state(max_attempts=2), AttemptEnd.NOT_RUN)
-        assert step.step is Step.AGAIN
-        assert step.spends
+        assert step.step is Step.RETRY
+        assert step.uses_budget
         assert step.kind is ErrorKind.ENDPOINT_REFUSED
 
-    def test_nothing_sent_is_free(self):
+    def test_retry_without_budget_if_nothing_was_sent(self):
         step = decide(make_state(sent=()), AttemptEnd.UNSENT)
-        assert step.step is Step.AGAIN
-        assert not step.spends
+        assert step.step is Step.RETRY
+        assert not step.uses_budget
 
 
 class TestSafeRequest:
-    def test_failure_is_kept_from_the_caller_once(self):
+    def test_failure_is_retried_up_to_max_attempts(self):
         state = make_state(safe=True, max_attempts=2)
-        assert decide(state, AttemptEnd.FAILED).step is Step.AGAIN
+        assert decide(state, AttemptEnd.FAILED).step is Step.RETRY
         state.note_sent("e2")
         assert decide(state, AttemptEnd.FAILED).step is Step.PASS_ON
 
-    def test_endpoints_are_bounded_by_attempts(self):
+    def test_distinct_endpoints_are_limited_by_max_attempts(self):
         state = make_state(safe=True, max_attempts=2, sent=("e1", "e2"))
-        assert state.may_go_to("e1")
-        assert not state.may_go_to("e3")
+        assert state.may_send_to("e1")
+        assert not state.may_send_to("e3")
 
 
 class TestStream:
-    def test_started_answer_is_broken_off(self):
+    def test_started_answer_is_aborted(self):
         state = make_state()
-        state.delivered = True
-        assert decide(state, AttemptEnd.BROKEN).step is Step.BREAK_OFF
+        state.answer_started = True
+        assert decide(state, AttemptEnd.BROKEN).step is Step.ABORT
 
-    def test_resumable_answer_goes_on_elsewhere(self):
+    def test_resumable_answer_is_resumed(self):
         state = make_state(resumable=True, max_attempts=2)
-        state.delivered = True
+        state.answer_started = True
         assert decide(state, AttemptEnd.BROKEN).step is Step.RESUME
 
 
-class TestPromises:
+class TestGuarantees:
     @given(
         st.booleans(),
         st.booleans(),
         st.integers(1, 3),
         st.lists(st.sampled_from(AttemptEnd), max_size=8),
     )
-    def test_not_run_is_never_told_of_what_may_have_run(
+    def test_not_run_is_never_reported_if_it_may_have_run(
         self, safe, resumable, max_attempts, ends
     ):
-        """Whatever happens in whatever order, refusals are true."""
+        """Holds for any sequence of attempt ends."""
         state = RequestState(safe, resumable, max_attempts)
         ran = False
         for number, end in enumerate(ends):
@@ -90,9 +89,9 @@
             if ran:
                 assert step.kind is not ErrorKind.ENDPOINT_REFUSED
             if ran and not state.repeatable:
-                assert step.step not in (Step.AGAIN, Step.RESUME) or (
+                assert step.step not in (Step.RETRY, Step.RESUME) or (
                     end is AttemptEnd.UNSENT
                 )
                 return
-            if step.step not in (Step.AGAIN, Step.RESUME):
+            if step.step not in (Step.RETRY, Step.RESUME):
                 return
--- a/tests/components/forward/test_overhead.py
+++ b/tests/components/forward/test_overhead.py
@@ -1,65 +1,59 @@
-"""Tests of learning what a first piece takes besides reading."""
+"""Tests of estimating the overhead of first chunks."""
 
 import random
 
-from fescuekeel.components.forward.const import MAX_OVERHEAD_S, STEP_S
+from fescuekeel.components.forward.const import ENGINE_STEP_S, MAX_OVERHEAD_S
 from fescuekeel.components.forward.endpoints import EndpointLoad
-from fescuekeel.components.forward.overhead import FirstPieceFit
+from fescuekeel.components.forward.overhead import OverheadEstimator
 
 FIRST_S = 0.09
 TOKENS_PER_S = 16_000
 
 
-def make_fit(overhead_s=FIRST_S, samples=40):
-    chance = random.Random(1)
-    fit = FirstPieceFit()
+def make_estimator(overhead_s=FIRST_S, samples=40):
+    rng = random.Random(1)
+    estimator = OverheadEstimator()
     for _ in range(samples):
-        tokens = chance.randint(100, 4000)
-        noise_s = chance.uniform(0.0, 0.02)
-        fit.note(tokens, overhead_s + tokens / TOKENS_PER_S + noise_s)
-    return fit
+        tokens = rng.randint(100, 4000)
+        noise_s = rng.uniform(0.0, 0.02)
+        estimator.note(tokens, overhead_s + tokens / TOKENS_PER_S + noise_s)
+    return estimator
 
 
 class TestOverhead:
-    """A tenth of a day's prompts were refused by engines that were half idle.
+    """Guards against refusing prompts for engines that are partly idle.
 
-    The engines add 80 ms to each first piece, in which they go on with other
-    prompts. That was taken for reading time, so that an engine that reads 16
-    tokens a millisecond counted as one that reads 8.
+    With the fixed overhead counted as prefill, their speed is underestimated.
     """
 
-    def test_fixed_part_is_told_from_reading(self):
-        assert abs(make_fit().overhead_s - FIRST_S) < 0.025
+    def test_overhead_is_separated_from_prefill(self):
+        assert abs(make_estimator().overhead_s - FIRST_S) < 0.025
 
-    def test_speed_is_learned_without_it(self):
+    def test_speed_excludes_the_overhead(self):
         load = EndpointLoad()
         load.begin(None, 1200)
         wait_s = FIRST_S + 1200 / TOKENS_PER_S
-        load.note_first_piece(1200, 0, wait_s, FIRST_S, 0.0)
+        load.note_first_chunk(1200, 0, wait_s, FIRST_S, 0.0)
         assert abs(load.speeds[0] - TOKENS_PER_S) < 1
 
-    def test_speed_is_learned_from_a_prompt_behind_others(self):
-        """Prompts waited for their turn at an engine that idled half the time.
-
-        Its speed was learned only from prompts that were read alone, and under
-        load none was.
-        """
+    def test_speed_is_sampled_with_other_prompts_ahead(self):
+        """Guards against having no speed samples under load."""
         load = EndpointLoad()
         load.begin(None, 4000)
         load.begin(None, 1200)
         wait_s = FIRST_S + 1200 / TOKENS_PER_S
-        load.note_first_piece(1200, 4000, wait_s, FIRST_S, 0.0)
+        load.note_first_chunk(1200, 4000, wait_s, FIRST_S, 0.0)
         assert abs(load.speeds[0] - TOKENS_PER_S) < 1
 
-    def test_little_is_believed_before_enough_is_known(self):
-        assert FirstPieceFit().overhead_s == STEP_S
-        assert make_fit(samples=3).overhead_s == STEP_S
+    def test_default_is_used_without_enough_samples(self):
+        assert OverheadEstimator().overhead_s == ENGINE_STEP_S
+        assert make_estimator(samples=3).overhead_s == ENGINE_STEP_S
 
-    def test_prompts_of_one_size_show_nothing(self):
-        fit = FirstPieceFit()
+    def test_default_is_used_for_prompts_of_one_size(self):
+        estimator = OverheadEstimator()
         for _ in range(20):
-            fit.note(1000, 0.2)
-        assert fit.overhead_s == STEP_S
+            estimator.note(1000, 0.2)
+        assert estimator.overhead_s == ENGINE_STEP_S
 
-    def test_it_is_bounded(self):
-        assert make_fit(overhead_s=5.0).overhead_s == MAX_OVERHEAD_S
+    def test_estimate_is_bounded(self):
+        assert make_estimator(overhead_s=5.0).overhead_s == MAX_OVERHEAD_S
--- a/tests/components/forward/test_parts.py
+++ b/tests/components/forward/test_parts.py
@@ -1,11 +1,11 @@
-"""Tests of the forwarder's small parts."""
+"""Tests of the smaller parts of the forward component."""
 
 from fescuekeel.components.forward.budget import RetryBudget
 from fescuekeel.components.forward.endpoints import EndpointLoad
 from fescuekeel.components.forward.events import EventSplitter
 from fescuekeel.components.forward.routes import RouteTable, choose_service
 from fescuekeel.components.forward.use import make_use
-from fescuekeel.components.forward.versions import VersionClock
+from fescuekeel.components.forward.versions import VersionTracker
 from fescuekeel.components.placement.const import USE_TTL_S
 from fescuekeel.helpers.published import (
     CallerLimits,
@@ -36,34 +36,31 @@
 
 
 class TestChooseService:
-    def test_weights_are_kept(self):
+    def test_services_are_chosen_by_weight(self):
         route = make_route("r", targets=(("s", 90.0), ("t", 10.0)))
         chosen = [choose_service(route, str(number)) for number in range(2000)]
         assert 120 < chosen.count("t") < 280
 
-    def test_service_without_weight_gets_nothing(self):
+    def test_service_of_zero_weight_is_not_chosen(self):
         route = make_route("r", targets=(("s", 0.0), ("t", 10.0)))
         assert {choose_service(route, str(n)) for n in range(100)} == {"t"}
 
 
 class TestRetryBudget:
     def test_budget_is_shared_among_instances(self):
-        """Endpoints that failed were hit by five times their requests.
-
-        Each of the instances spent the whole budget for itself.
-        """
+        """Guards against each instance using the whole budget."""
         alone = RetryBudget(0.0, 40.0, 10.0)
         shared = RetryBudget(0.0, 40.0, 10.0, instances=8)
         assert sum(alone.spend("s", 0.0) for _ in range(100)) == 28
         assert sum(shared.spend("s", 0.0) for _ in range(100)) == 3
 
-    def test_budget_comes_back_with_time(self):
+    def test_retries_expire_from_the_window(self):
         budget = RetryBudget(0.0, 2.0, 10.0)
         assert budget.spend("s", 0.0)
         assert not budget.spend("s", 5.0)
         assert budget.spend("s", 11.0)
 
-    def test_requests_earn_budget(self):
+    def test_budget_grows_with_requests(self):
         budget = RetryBudget(0.2, 0.0, 10.0)
         for _ in range(100):
             budget.note_request("s", 0.0)
@@ -71,37 +68,33 @@
 
 
 class TestEventSplitter:
-    def test_event_cut_in_the_middle_is_dropped(self):
+    def test_incomplete_event_is_discarded(self):
         splitter = EventSplitter()
         assert splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda") == b"id: 1\ndata: a\n\n"
-        splitter.drop_held()
+        splitter.drop_buffered()
         assert splitter.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
         assert splitter.last_id == "2"
 
 
-class TestVersionClock:
-    def test_version_before_may_serve_for_a_moment(self):
-        clock = VersionClock()
-        clock.update({CARDS: 1}, 0.0)
-        clock.update({CARDS: 2}, 10.0)
-        assert clock.get_newest(CARDS) == 2
-        assert clock.get_oldest_allowed(CARDS, 10.5) == 1
-        assert clock.get_oldest_allowed(CARDS, 15.0) == 2
+class TestVersionTracker:
+    def test_previous_version_may_serve_for_the_grace_period(self):
+        tracker = VersionTracker()
+        tracker.update({CARDS: 1}, 0.0)
+        tracker.update({CARDS: 2}, 10.0)
+        assert tracker.get_newest(CARDS) == 2
+        assert tracker.get_oldest_allowed(CARDS, 10.5) == 1
+        assert tracker.get_oldest_allowed(CARDS, 15.0) == 2
 
-    def test_lower_version_is_passed_over(self):
-        clock = VersionClock()
-        clock.update({CARDS: 2}, 0.0)
-        clock.update({CARDS: 1}, 10.0)
-        assert clock.get_newest(CARDS) == 2
+    def test_lower_version_is_ignored(self):
+        tracker = VersionTracker()
+        tracker.update({CARDS: 2}, 0.0)
+        tracker.update({CARDS: 1}, 10.0)
+        assert tracker.get_newest(CARDS) == 2
 
 
 class TestUse:
-    def test_end_of_use_is_told_once(self):
-        """An adapter stayed loaded although nobody used it any more.
-
-        The instance that had used it told of nothing while it was idle, so
-        that its last requests seemed to run on.
-        """
+    def test_end_of_use_is_reported_once(self):
+        """Guards against an unused adapter that counts as in use."""
         load = EndpointLoad()
         load.begin(CARDS, 100)
         assert make_use("e1", load, 0.0).uses[0].running == 1
@@ -109,23 +102,19 @@
         assert make_use("e1", load, 0.0).running == 0
         assert make_use("e1", load, 0.0) is None
 
-    def test_end_of_one_use_among_others_is_told(self):
-        """A prompt waited for two seconds for a place that nobody used.
-
-        Its holder had heard that the adapter there was used, and heard nothing
-        when that ended; it believed the last word for two seconds.
-        """
+    def test_end_of_one_use_among_others_is_reported(self):
+        """Guards against a place that stays occupied after its last use."""
         load = EndpointLoad()
         rings = Weights("m", "rings")
         load.begin(CARDS, 0)
         load.begin(rings, 0)
         make_use("e1", load, 0.0)
         load.end(CARDS, 0)
-        told = {use.adapter: use.running for use in make_use("e1", load, 0.1).uses}
-        assert told == {"cards": 0, "rings": 1}
+        reported = {use.adapter: use.running for use in make_use("e1", load, 0.1).uses}
+        assert reported == {"cards": 0, "rings": 1}
 
-    def test_unchanged_use_is_repeated_before_it_is_forgotten(self):
-        """A holder unloaded an adapter under a long stream."""
+    def test_unchanged_use_is_repeated_before_it_expires(self):
+        """Guards against an unload of an adapter that a stream uses."""
         load = EndpointLoad()
         load.begin(CARDS, 100)
         make_use("e1", load, 0.0)
--- a/tests/components/forward/test_search.py
+++ b/tests/components/forward/test_search.py
@@ -1,12 +1,12 @@
-"""Tests of where a request is asked for next, and of the load it answers."""
+"""Tests of the search for an endpoint, and a simulation of a hot adapter."""
 
 import heapq
 import itertools
 from dataclasses import replace
 from random import Random
 
-from fescuekeel.components.forward.choice import EngineQuestion, choose_engine
-from fescuekeel.components.forward.const import MAX_CROWDED, MAX_REFUSALS
+from fescuekeel.components.forward.choice import EngineQuery, choose_engine
+from fescuekeel.components.forward.const import MAX_CONGESTED, MAX_REFUSALS
 from fescuekeel.components.forward.endpoints import EndpointLoad
 from fescuekeel.components.forward.search import Search
 from fescuekeel.components.placement.pacing import Prompt, PromptPacer
@@ -16,52 +16,54 @@
 
 MODEL = Weights("m")
 CARDS = Weights("m", "cards")
-CROWDED = AdmitAnswer(False, reason=TURNS_WAIT)
+CONGESTED = AdmitAnswer(False, reason=TURNS_WAIT)
 
 
 class TestSearch:
-    def test_crowded_endpoints_are_tried_in_turn_before_it_waits(self):
+    def test_request_queues_only_after_several_congested_endpoints(self):
         search = Search(until=10.0)
-        for number in range(MAX_CROWDED):
-            assert not search.waits_at(f"e{number}")
-            search.note_no_turn(f"e{number}", CROWDED, patient=False)
-        assert search.waits_at("e0")
+        for number in range(MAX_CONGESTED):
+            assert not search.may_queue_at(f"e{number}")
+            search.note_not_admitted(f"e{number}", CONGESTED, patient=False)
+        assert search.may_queue_at("e0")
         assert search.avoided == set()
-        assert not search.is_over(0.0)
+        assert not search.is_exhausted(0.0)
 
-    def test_it_ends_after_full_queues_only(self):
+    def test_search_ends_after_the_limit_of_full_queues(self):
         search = Search(until=10.0)
         for number in range(MAX_REFUSALS):
-            assert not search.is_over(0.0)
-            search.note_no_turn(f"e{number}", CROWDED, patient=True)
-        assert search.is_over(0.0)
+            assert not search.is_exhausted(0.0)
+            search.note_not_admitted(f"e{number}", CONGESTED, patient=True)
+        assert search.is_exhausted(0.0)
         assert search.failure.retry_after_s
 
-    def test_missing_adapter_makes_no_endpoint_crowded(self):
+    def test_missing_adapter_does_not_mark_an_endpoint_as_congested(self):
         search = Search(until=10.0)
-        search.note_no_turn("e1", AdmitAnswer(False, reason=NOT_HELD), patient=False)
+        search.note_not_admitted(
+            "e1", AdmitAnswer(False, reason=NOT_HELD), patient=False
+        )
         assert search.avoided == set()
 
 
-class HotAdapter:
-    """Play one adapter that many instances ask for, on many engines.
+class HotAdapterSimulation:
+    """Simulate many instances that request one adapter on many engines.
 
-    Each instance knows what it was answered, and what engines published two
-    seconds ago. An engine reads 25,800 tokens a second, runs twelve requests
-    of 1.7 s, and loads the adapter within 0.26 s.
+    An instance knows the answers that it got, and what engines published
+    ``PUBLISH_LAG_S`` ago. Without ``redirects``, requests queue at congested
+    engines.
     """
 
     ENGINES = 60
     INSTANCES = 195
-    PER_S = 46.0
+    REQUESTS_PER_S = 46.0
     TOKENS = 1460
     LOAD_S = 0.26
     STREAM_S = 1.7
     SLOTS = 12
-    LAG_S = 2.0
+    PUBLISH_LAG_S = 2.0
 
-    def __init__(self, sheds):
-        self.sheds = sheds
+    def __init__(self, redirects):
+        self.redirects = redirects
         self.random = Random(5)
         ids = [f"e{number:02}" for number in range(self.ENGINES)]
         self.records = {
@@ -70,26 +72,26 @@
         }
         self.pacers = {id: PromptPacer(0.25, 25_800, 0.5) for id in ids}
         self.running = dict.fromkeys(ids, 0)
-        self.coming = dict.fromkeys(ids, 0)
-        self.held_from = {}
+        self.incoming_tokens = dict.fromkeys(ids, 0)
+        self.loaded_at_by_id = {}
         self.boards = [PlacementBoard() for _ in range(self.INSTANCES)]
         self.loads = [{id: EndpointLoad() for id in ids} for _ in range(self.INSTANCES)]
         self.events = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
         self.requests = {}
         self.waits = []
 
-    def at(self, time, action, *arguments):
-        heapq.heappush(self.events, (time, next(self.order), action, arguments))
+    def schedule(self, time, action, *arguments):
+        heapq.heappush(self.events, (time, next(self.sequence), action, arguments))
 
-    def play(self, seconds):
-        """Return how long each request waited for its turn."""
+    def run(self, seconds):
+        """Return the time that each request waited for its admission."""
         now = 0.0
         while now < seconds:
-            now += self.random.expovariate(self.PER_S)
-            number = next(self.order)
+            now += self.random.expovariate(self.REQUESTS_PER_S)
+            number = next(self.sequence)
             self.requests[number] = (now, self.random.randrange(self.INSTANCES))
-            self.at(now, self.search, number, Search(until=now + 2.0))
+            self.schedule(now, self.search, number, Search(until=now + 2.0))
         while self.events:
             now, _, action, arguments = heapq.heappop(self.events)
             action(now, *arguments)
@@ -99,19 +101,19 @@
         published = {MODEL: 0, CARDS: 0}
         return {
             id: replace(record, held=published)
-            if self.held_from.get(id, now) < now - self.LAG_S
+            if self.loaded_at_by_id.get(id, now) < now - self.PUBLISH_LAG_S
             else record
             for id, record in self.records.items()
         }
 
     def search(self, now, number, search):
-        began, instance = self.requests[number]
-        if search.is_over(now):
-            self.waits.append(now - began)
+        arrived, instance = self.requests[number]
+        if search.is_exhausted(now):
+            self.waits.append(now - arrived)
             return
-        question = EngineQuestion(CARDS, self.TOKENS, self.SLOTS, 0, 0, str(number))
+        query = EngineQuery(CARDS, self.TOKENS, self.SLOTS, 0, 0, str(number))
         choice = choose_engine(
-            question,
+            query,
             self.read_published(now),
             self.loads[instance].__getitem__,
             self.boards[instance],
@@ -119,7 +121,7 @@
             search.avoided,
             now,
         )
-        patient = not self.sheds or search.waits_at(choice.endpoint)
+        patient = not self.redirects or search.may_queue_at(choice.endpoint)
         if choice.needs_load:
             self.load(now, number, search, choice.endpoint, patient)
             return
@@ -127,24 +129,24 @@
 
     def load(self, now, number, search, id, patient):
         _, instance = self.requests[number]
-        if not patient and self.is_crowded(id):
-            search.note_crowded(id)
-            self.at(now + 0.003, self.search, number, search)
+        if not patient and self.is_congested(id):
+            search.note_congested(id)
+            self.schedule(now + 0.003, self.search, number, search)
             return
-        ready = self.held_from.setdefault(id, now + self.LOAD_S)
+        ready = self.loaded_at_by_id.setdefault(id, now + self.LOAD_S)
         if now < ready:
-            self.coming[id] += self.TOKENS
-            self.at(ready, self.end_load, id)
+            self.incoming_tokens[id] += self.TOKENS
+            self.schedule(ready, self.end_load, id)
         self.boards[instance].note_held(id, CARDS, 0, max(now, ready))
-        self.at(max(now + 0.003, ready), self.search, number, search)
+        self.schedule(max(now + 0.003, ready), self.search, number, search)
 
-    def is_crowded(self, id):
-        wait_s = self.pacers[id].estimate_wait_s(self.coming[id])
+    def is_congested(self, id):
+        wait_s = self.pacers[id].estimate_wait_s(self.incoming_tokens[id])
         waits_long = wait_s > self.LOAD_S
         return waits_long or self.running[id] >= self.SLOTS
 
     def end_load(self, now, id):
-        self.coming[id] -= self.TOKENS
+        self.incoming_tokens[id] -= self.TOKENS
 
     def ask(self, now, number, search, id, patient):
         pacer = self.pacers[id]
@@ -156,40 +158,38 @@
         pacer = self.pacers[id]
         room = self.SLOTS - self.running[id]
         for turn in pacer.step(now, room, self.LOAD_S):
-            began, instance, search, patient = self.requests[turn.number]
-            self.requests[turn.number] = (began, instance)
+            arrived, instance, search, patient = self.requests[turn.number]
+            self.requests[turn.number] = (arrived, instance)
             board = self.boards[instance]
             board.note_load(id, self.running[id], pacer.count_pending(now), now)
             if turn.granted:
-                self.waits.append(now - began)
+                self.waits.append(now - arrived)
                 self.running[id] += 1
-                self.at(now + self.STREAM_S, self.end, id)
+                self.schedule(now + self.STREAM_S, self.end, id)
                 continue
-            search.note_no_turn(id, CROWDED, patient)
-            self.at(now + 0.003, self.search, turn.number, search)
+            search.note_not_admitted(id, CONGESTED, patient)
+            self.schedule(now + 0.003, self.search, turn.number, search)
         due = pacer.get_next_step()
         if due < float("inf"):
-            self.at(max(now + 0.001, due), self.step, id)
+            self.schedule(max(now + 0.001, due), self.step, id)
 
     def end(self, now, id):
         self.running[id] -= 1
 
 
 class TestHotAdapter:
-    """Callers of the most wanted adapter waited for 1.0 s at the median.
+    """Guards against long queues at the one engine that holds a hot adapter.
 
-    Demand had moved to it a moment ago. One of 62 engines held it, each of 195
-    instances saw a request for it every four seconds and knew nothing of the
-    queue there, so that all of them joined it.
+    Each instance sends few requests, so it does not know that engine's queue.
     """
 
-    def count_on_time(self, sheds):
-        waits = HotAdapter(sheds).play(seconds=8.0)
+    def count_on_time(self, redirects):
+        waits = HotAdapterSimulation(redirects).run(seconds=8.0)
         return sum(wait < 0.6 for wait in waits) / len(waits)
 
-    def test_crowded_engine_passes_them_on_to_others(self):
-        """Share with a turn within 0.6 s; the aim is nine of ten at least."""
-        before = self.count_on_time(sheds=False)
-        after = self.count_on_time(sheds=True)
+    def test_congested_engine_redirects_requests_to_others(self):
+        """The share of requests admitted within 0.6 s must exceed 0.9."""
+        before = self.count_on_time(redirects=False)
+        after = self.count_on_time(redirects=True)
         assert before < 0.6
         assert after > 0.9
--- a/tests/components/forward/test_shutdown.py
+++ b/tests/components/forward/test_shutdown.py
@@ -1,9 +1,9 @@
-"""Tests of what still begins while an instance shuts down."""
+"""Tests of accepting requests during a shutdown."""
 
 from fescuekeel.components.forward.shutdown import Shutdown
 from fescuekeel.helpers.published import Route, RouteKind, WeightedService
 
-SHUTDOWN = Shutdown(began=100.0, ends=107.2)
+SHUTDOWN = Shutdown(started_at=100.0, ends_at=107.2)
 
 
 def make_route(kind, timeout_s):
@@ -12,42 +12,31 @@
 
 
 class TestLateRequests:
-    """Callers on kept connections were refused for seconds at each restart.
+    """Guards against refusing short requests on keep-alive connections.
 
-    An instance was told to stop. The platform took it out after two probes;
-    callers with open connections went on, and their short requests, which
-    would have been over in time, were refused like long streams.
+    These still come after the platform's probes have failed.
     """
 
-    def test_all_are_served_until_the_probes_have_failed(self):
-        assert SHUTDOWN.may_begin(make_route(RouteKind.STREAM, 15.0), 102.9)
+    def test_all_are_accepted_until_the_probes_have_failed(self):
+        assert SHUTDOWN.may_accept(make_route(RouteKind.STREAM, 15.0), 102.9)
 
-    def test_a_short_request_is_served_while_it_fits(self):
+    def test_short_request_is_accepted_if_it_ends_in_time(self):
         route = make_route(RouteKind.UNSAFE, 1.2)
-        assert SHUTDOWN.may_begin(route, 105.9)
-        assert not SHUTDOWN.may_begin(route, 106.1)
+        assert SHUTDOWN.may_accept(route, 105.9)
+        assert not SHUTDOWN.may_accept(route, 106.1)
 
-    def test_a_short_shutdown_leaves_time_for_streams(self):
-        """A stream was cut at the end of a shutdown of two seconds.
-
-        It had begun 50 ms before: the time in which all are served was longer
-        than the whole shutdown. Found by the soak, seed 200.
-        """
-        shutdown = Shutdown(began=100.0, ends=102.0)
+    def test_short_shutdown_leaves_time_for_streams(self):
+        """Guards against accepting a stream right before the process exits."""
+        shutdown = Shutdown(started_at=100.0, ends_at=102.0)
         route = make_route(RouteKind.STREAM, 15.0)
-        assert shutdown.may_begin(route, 100.9)
-        assert not shutdown.may_begin(route, 101.1)
-
-    def test_nothing_begins_once_connections_are_closed(self):
-        """A charge ran and its caller got no answer.
+        assert shutdown.may_accept(route, 100.9)
+        assert not shutdown.may_accept(route, 101.1)
 
-        It came five seconds after the signal, when nothing was under way any
-        more and the process was about to close its connections. Found by a
-        hunted day on which machines are stopped in turn.
-        """
+    def test_nothing_is_accepted_once_connections_are_closed(self):
+        """Guards against running a request whose caller gets no answer."""
         route = make_route(RouteKind.UNSAFE, 1.2)
-        assert SHUTDOWN.may_begin(route, 104.96)
-        assert not SHUTDOWN.close(104.95).may_begin(route, 104.96)
+        assert SHUTDOWN.may_accept(route, 104.96)
+        assert not SHUTDOWN.close(104.95).may_accept(route, 104.96)
 
-    def test_a_stream_that_may_outlast_the_process_is_not(self):
-        assert not SHUTDOWN.may_begin(make_route(RouteKind.STREAM, 1.2), 103.1)
+    def test_late_stream_is_refused(self):
+        assert not SHUTDOWN.may_accept(make_route(RouteKind.STREAM, 1.2), 103.1)
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -32,7 +32,7 @@
     ),
     ErrorKind.CONFIGURATION_STALE: (
         "components/forward/test_accounts.py::TestAge::"
-        "test_a_key_taken_away_is_served_nowhere_past_the_bound"
+        "test_revoked_key_is_rejected_past_the_bound"
     ),
     ErrorKind.RATE_LIMITED: (
         "components/gateway/test_limits.py::TestLimits::"
