--- a/fescuekeel/components/forward/gauges.py
+++ b/fescuekeel/components/forward/gauges.py
@@ -5,7 +5,7 @@
 
 from fescuekeel.components.forward.budget import RetryBudget
 from fescuekeel.components.forward.endpoints import EndpointLoad
-from fescuekeel.components.forward.placing import EndpointSelector
+from fescuekeel.components.forward.selection import EndpointSelector
 from fescuekeel.core import Instance
 from fescuekeel.messages import MemberView
 
