--- a/fescuekeel/components/forward/component.py
+++ b/fescuekeel/components/forward/component.py
@@ -24,7 +24,7 @@
 from fescuekeel.components.forward.gate import AccountGate
 from fescuekeel.components.forward.gauges import ForwardingGauges
 from fescuekeel.components.forward.overhead import OverheadEstimator
-from fescuekeel.components.forward.reach import ReachabilityMonitor
+from fescuekeel.components.forward.reachability import ReachabilityMonitor
 from fescuekeel.components.forward.records import RequestRecords
 from fescuekeel.components.forward.request import Attempt, ForwardedRequest
 from fescuekeel.components.forward.routes import RouteTable, choose_service
