--- a/fescuekeel/components/forward/request.py
+++ b/fescuekeel/components/forward/request.py
@@ -12,6 +12,7 @@
 )
 from fescuekeel.components.forward.caller import CallerConnection, CallerGoneError
 from fescuekeel.components.forward.choice import Choice
+from fescuekeel.components.forward.chunk_times import ChunkTimes
 from fescuekeel.components.forward.const import (
     CONNECT_BACKOFF_S,
     DEFAULT_KEEP_ALIVE_S,
@@ -23,7 +24,6 @@
 )
 from fescuekeel.components.forward.events import EventSplitter
 from fescuekeel.components.forward.host import RequestHost
-from fescuekeel.components.forward.times import ChunkTimes
 from fescuekeel.errors import ErrorKind, Failure
 from fescuekeel.helpers.dialect import AnswerHead, CallerHead, Header, SendHead
 from fescuekeel.helpers.exchange import (
