--- a/fescuekeel/components/allowance/__init__.py
+++ b/fescuekeel/components/allowance/__init__.py
@@ -1,4 +1,4 @@
-"""The allowance component: limits of client accounts over all instances."""
+"""The allowance component: rate limits of client accounts on all instances."""
 
 from fescuekeel.components.allowance.component import Allowances
 from fescuekeel.components.allowance.const import DOMAIN
--- a/fescuekeel/components/allowance/bucket.py
+++ b/fescuekeel/components/allowance/bucket.py
@@ -7,42 +7,44 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Hold what may be spent of a rate, in units of the limit.
+    """Limit spending to a rate and a burst, in units of the limit.
 
-    >>> bucket = TokenBucket(rate_per_s=10.0, burst=20.0, level=0.0, at=0.0)
-    >>> bucket.read(now=1.0), bucket.take(4.0, now=1.0), bucket.read(now=9.0)
+    >>> bucket = TokenBucket(
+    ...     rate_per_s=10.0, burst=20.0, level=0.0, updated_at=0.0
+    ... )
+    >>> bucket.refill(1.0), bucket.consume(4.0, now=1.0), bucket.refill(9.0)
     (10.0, True, 20.0)
     """
 
     rate_per_s: float
     burst: float
     level: float
-    at: float
+    updated_at: float
 
-    def read(self, now: float) -> float:
-        """Return what may be spent now."""
-        gained = self.rate_per_s * max(0.0, now - self.at)
+    def refill(self, now: float) -> float:
+        """Add what has accrued since the last update; return the level."""
+        gained = self.rate_per_s * max(0.0, now - self.updated_at)
         self.level = min(self.burst, self.level + gained)
-        self.at = max(self.at, now)
+        self.updated_at = max(self.updated_at, now)
         return self.level
 
-    def take(self, amount: float, now: float) -> bool:
-        """Spend an amount, if it is there."""
-        if amount > self.read(now):
+    def consume(self, amount: float, now: float) -> bool:
+        """Deduct an amount; return false if the level is too low."""
+        if amount > self.refill(now):
             return False
         self.level -= amount
         return True
 
     def empty(self, now: float) -> None:
-        """Begin anew with nothing."""
+        """Discard the whole level."""
         self.level = 0.0
-        self.at = now
+        self.updated_at = now
 
-    def change(self, rate_per_s: float, burst: float, now: float) -> None:
-        """Take another limit into use; what is beyond it is lost."""
+    def set_limit(self, rate_per_s: float, burst: float, now: float) -> None:
+        """Change the limit; a level above the new burst is cut to it."""
         if (rate_per_s, burst) == (self.rate_per_s, self.burst):
             return
-        self.read(now)
+        self.refill(now)
         self.rate_per_s = rate_per_s
         self.burst = burst
         self.level = min(self.level, burst)
--- a/fescuekeel/components/allowance/fleet.py
+++ b/fescuekeel/components/allowance/fleet.py
@@ -1,49 +1,53 @@
-"""Decide which part of the limits the instances within reach may grant; pure.
+"""Compute which share of each limit this side of a partition may grant; pure.
 
-In a cut both sides have a home for each account. Each grants as much as it
-has of the instances, so that both together grant no more than the limit.
+In a network partition each side has its own home for every account. Each side
+grants in proportion to its number of instances, so that the sides together
+stay within the limit.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-__all__ = ["FleetShare"]
+__all__ = ["PartitionShare"]
 
 
 @dataclass(slots=True)
-class FleetShare:
-    """Count the instances that are there, and those that may be elsewhere.
+class PartitionShare:
+    """Track the reachable instances, and lost ones that may still be running.
 
-    An instance that was lost without word may be alive behind a cut. It
-    counts for ``memory_s``, until it has certainly stopped spending.
+    An instance that was lost without announcing its departure may be alive on
+    the other side of a partition. It counts for ``lost_ttl_s``, after which it
+    has certainly stopped admitting requests.
 
-    >>> share = FleetShare(memory_s=7.0)
-    >>> share.take({"i1": 1, "i2": 1}, left=set(), now=0.0)
-    >>> share.take({"i1": 1}, left=set(), now=5.0)
-    >>> share.read(now=5.0), share.read(now=13.0)
+    >>> share = PartitionShare(lost_ttl_s=7.0)
+    >>> share.update_members({"i1": 1, "i2": 1}, left=set(), now=0.0)
+    >>> share.update_members({"i1": 1}, left=set(), now=5.0)
+    >>> share.compute(now=5.0), share.compute(now=13.0)
     (0.5, 1.0)
     """
 
-    memory_s: float
-    present: set[str] = field(default_factory=set)
+    lost_ttl_s: float
+    reachable: set[str] = field(default_factory=set)
     _lost_at_by_id: dict[str, float] = field(default_factory=dict)
 
-    def take(self, members: Mapping[str, object], left: set[str], now: float) -> None:
-        """Take the members that are believed alive, and who left in order."""
-        for id in self.present - members.keys():
+    def update_members(
+        self, members: Mapping[str, object], left: set[str], now: float
+    ) -> None:
+        """Replace the members; those in ``left`` shut down cleanly."""
+        for id in self.reachable - members.keys():
             if id not in left:
                 self._lost_at_by_id[id] = now
-        self.present = set(members)
-        for id in self.present | left:
+        self.reachable = set(members)
+        for id in self.reachable | left:
             self._lost_at_by_id.pop(id, None)
 
-    def count(self, now: float) -> int:
-        """Return how many instances may be spending."""
+    def count_instances(self, now: float) -> int:
+        """Return how many instances may be admitting requests."""
         for id, lost_at in list(self._lost_at_by_id.items()):
-            if now - lost_at > self.memory_s:
+            if now - lost_at > self.lost_ttl_s:
                 del self._lost_at_by_id[id]
-        return max(1, len(self.present) + len(self._lost_at_by_id))
+        return max(1, len(self.reachable) + len(self._lost_at_by_id))
 
-    def read(self, now: float) -> float:
-        """Return the part of each limit that is granted on this side."""
-        return max(1, len(self.present)) / self.count(now)
+    def compute(self, now: float) -> float:
+        """Return the share of each limit that this side may grant."""
+        return max(1, len(self.reachable)) / self.count_instances(now)
--- a/fescuekeel/components/allowance/holding.py
+++ b/fescuekeel/components/allowance/holding.py
@@ -1,106 +1,110 @@
-"""Decide whether an account's request may begin, by what is granted; pure."""
+"""Decide from the units granted to this instance whether to admit a request.
+
+All decisions are pure.
+"""
 
 from dataclasses import dataclass
 
 from fescuekeel.components.allowance.bucket import TokenBucket
 from fescuekeel.components.allowance.const import (
     GRANT_TTL_S,
-    HOME_SILENT_S,
+    HOME_BACKOFF_S,
+    MIN_RETRY_AFTER_S,
     RECHECK_S,
-    SHORTEST_WAIT_S,
 )
 from fescuekeel.components.allowance.home import Grant
 from fescuekeel.helpers.published import ClientAccount
 
-__all__ = ["AskHome", "Holding", "MayBegin", "Refuse"]
+__all__ = ["Admit", "AskHome", "LocalAllowance", "Refuse"]
 
 
 @dataclass(frozen=True, slots=True)
-class MayBegin:
-    """Say that the request may begin; its price is taken."""
+class Admit:
+    """The request is admitted and its price is deducted."""
 
 
 @dataclass(frozen=True, slots=True)
 class AskHome:
-    """Say that the account's home has to be asked for more."""
+    """More units have to be requested from the account's home."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Say that the limit is reached, and when there is room again."""
+    """The limit is reached; ``wait_s`` is when to retry."""
 
     wait_s: float
 
 
 @dataclass(slots=True)
-class Holding:
-    """What one instance holds of one account's allowance.
+class LocalAllowance:
+    """The units of one account's limit that this instance may spend.
 
-    ``own_part`` is spent while the home does not answer: the instance's part
-    of the limit, shared evenly by all that there are.
+    ``fallback`` holds this instance's even share of the limit, which is spent
+    while no home answers.
 
-    >>> holding = Holding(TokenBucket(1.0, 1.0, 0.0, 0.0))
-    >>> holding.spend(2.0, now=0.0)
+    >>> local = LocalAllowance(TokenBucket(1.0, 1.0, 0.0, 0.0))
+    >>> local.spend(2.0, now=0.0)
     AskHome()
-    >>> holding.take_grant(Grant(5.0), asked=0.0)
-    >>> holding.spend(2.0, now=0.1), holding.spend(4.0, now=0.1)
-    (MayBegin(), AskHome())
+    >>> local.apply_grant(Grant(5.0), asked_at=0.0)
+    >>> local.spend(2.0, now=0.1), local.spend(4.0, now=0.1)
+    (Admit(), AskHome())
     """
 
-    own_part: TokenBucket
+    fallback: TokenBucket
     units: float = 0.0
     _largest_price: float = 0.0
     _valid_until: float = float("-inf")
     _ask_after: float = float("-inf")
-    _room_at: float = float("-inf")
-    _silent_until: float = float("-inf")
+    _available_at: float = float("-inf")
+    _fallback_until: float = float("-inf")
 
-    def change(self, account: ClientAccount, instances: int, now: float) -> None:
-        """Take the limit and the number of instances that share it."""
+    def set_limit(self, account: ClientAccount, instances: int, now: float) -> None:
+        """Update the limit and the number of instances that share it."""
         rate = account.rate_per_s / instances
         burst = account.burst / instances
-        # An even part may be less than one request takes: it is saved up.
-        self.own_part.change(rate, max(burst, self._largest_price), now)
+        # An even share may be smaller than one request's price; it has to
+        # accumulate up to it.
+        self.fallback.set_limit(rate, max(burst, self._largest_price), now)
 
-    def spend(self, price: float, now: float) -> MayBegin | AskHome | Refuse:
-        """Take a request's price, or tell what comes first."""
+    def spend(self, price: float, now: float) -> Admit | AskHome | Refuse:
+        """Deduct a request's price, or return why it can't be deducted yet."""
         self._largest_price = max(self._largest_price, price)
         if now < self._valid_until and price <= self.units:
             self.units -= price
-            return MayBegin()
-        if now < self._silent_until:
-            return self._spend_own(price, now)
+            return Admit()
+        if now < self._fallback_until:
+            return self._spend_fallback(price, now)
         if now < self._ask_after:
-            return Refuse(max(SHORTEST_WAIT_S, self._room_at - now))
+            return Refuse(max(MIN_RETRY_AFTER_S, self._available_at - now))
         return AskHome()
 
-    def _spend_own(self, price: float, now: float) -> MayBegin | Refuse:
-        if self.own_part.take(price, now):
-            return MayBegin()
-        return Refuse(max(SHORTEST_WAIT_S, self._silent_until - now))
+    def _spend_fallback(self, price: float, now: float) -> Admit | Refuse:
+        if self.fallback.consume(price, now):
+            return Admit()
+        return Refuse(max(MIN_RETRY_AFTER_S, self._fallback_until - now))
 
-    def take_grant(self, grant: Grant, asked: float) -> None:
-        """Take the home's answer to a question that was sent at ``asked``."""
+    def apply_grant(self, grant: Grant, asked_at: float) -> None:
+        """Apply the home's answer to a query that was sent at ``asked_at``."""
         if grant.units <= 0:
-            self._room_at = asked + grant.wait_s
-            self._ask_after = asked + min(grant.wait_s, RECHECK_S)
+            self._available_at = asked_at + grant.wait_s
+            self._ask_after = asked_at + min(grant.wait_s, RECHECK_S)
             return
-        if asked >= self._valid_until:
+        if asked_at >= self._valid_until:
             self.units = 0.0
         self.units += grant.units
-        self._valid_until = asked + GRANT_TTL_S
+        self._valid_until = asked_at + GRANT_TTL_S
 
-    def note_silent(self, now: float) -> None:
-        """Live on the own part for a while: the home did not answer.
+    def start_fallback(self, now: float) -> None:
+        """Use the fallback share for a while, as no home answered.
 
-        It begins with nothing. Guards against many instances that each have
-        saved up one request of a small account and send them all at once.
+        The share starts empty. Guards against many instances that have each
+        accumulated one request of a small account and admit it at once.
         """
-        if now > self._silent_until + HOME_SILENT_S:
-            self.own_part.empty(now)
-        self._silent_until = now + HOME_SILENT_S
+        if now > self._fallback_until + HOME_BACKOFF_S:
+            self.fallback.empty(now)
+        self._fallback_until = now + HOME_BACKOFF_S
 
-    def give_back(self, price: float, now: float) -> None:
-        """Take back the price of a request that did not run."""
+    def refund(self, price: float, now: float) -> None:
+        """Return the price of a request that did not run."""
         if now < self._valid_until:
             self.units += price
--- a/fescuekeel/components/allowance/home.py
+++ b/fescuekeel/components/allowance/home.py
@@ -1,10 +1,9 @@
 """Decide what an account's home grants to the instances that ask; pure.
 
-One instance, found by hashing, counts what it grants of each account's limit.
-Whatever the number of instances that ask, they are granted no more in any
-window than the limit allows. A home that follows on another begins with what
-has come in since it can have become the home, so that a change of homes grants
-next to nothing twice.
+Each account's limit is counted by one instance, its home, chosen by rendezvous
+hashing. However many instances ask, the home grants no more in any window than
+the limit allows. A new home grants only what has accrued since the latest time
+at which it can have become the home, so that almost nothing is granted twice.
 """
 
 from collections import deque
@@ -13,12 +12,12 @@
 
 from fescuekeel.components.allowance.const import (
     GRANT_TTL_S,
-    LONGEST_WAIT_S,
     MAX_ACCOUNTS,
-    REFUSED_MEMORY_S,
+    MAX_RETRY_AFTER_S,
+    MIN_RETRY_AFTER_S,
+    PREFETCH_SHARE,
+    REFUSED_DEMAND_TTL_S,
     RESERVED_SHARE,
-    SHORTEST_WAIT_S,
-    SPARE_SHARE,
 )
 from fescuekeel.components.allowance.window import LimitWindow
 from fescuekeel.helpers.published import ClientAccount
@@ -28,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """What was granted, none if ``wait_s`` says when to ask again."""
+    """The units granted; if none, ``wait_s`` says when to ask again."""
 
     units: float
     wait_s: float = 0.0
@@ -36,39 +35,39 @@
 
 @dataclass(slots=True)
 class AccountState:
-    """What was granted of one account's limit, and refused, lately.
+    """Recent grants and refusals of one account.
 
-    ``spare`` is what was granted unasked for: it may be spent a little later
-    than it was granted, so that there must not be much of it.
+    ``prefetched`` are units granted beyond what was needed. They may be spent
+    later than they were granted, so their number is bounded.
     """
 
     window: LimitWindow
-    spare: deque[tuple[float, float]] = field(default_factory=deque)
+    prefetched: deque[tuple[float, float]] = field(default_factory=deque)
     refused: deque[tuple[float, float]] = field(default_factory=deque)
 
-    def count_spare(self, now: float) -> float:
-        """Return what may lie unspent with those who were granted it."""
-        return _count_since(self.spare, now - GRANT_TTL_S)
+    def count_prefetched(self, now: float) -> float:
+        """Return the prefetched units that may still be unspent."""
+        return _count_since(self.prefetched, now - GRANT_TTL_S)
 
     def count_refused(self, now: float) -> float:
-        """Return what was refused lately and will be asked for again."""
-        return _count_since(self.refused, now - REFUSED_MEMORY_S)
+        """Return the units refused recently, for which callers will retry."""
+        return _count_since(self.refused, now - REFUSED_DEMAND_TTL_S)
 
 
-def _count_since(entries: deque[tuple[float, float]], since: float) -> float:
-    while entries and entries[0][0] < since:
+def _count_since(entries: deque[tuple[float, float]], start: float) -> float:
+    while entries and entries[0][0] < start:
         entries.popleft()
     return sum(units for _, units in entries)
 
 
 @dataclass(slots=True)
 class AccountHome:
-    """Hold what was granted of the accounts that have their home here.
+    """Track the grants of the accounts whose home is this instance.
 
-    ``since`` is the latest time at which it can have become the home of an
-    account that it knows nothing of.
+    ``known_since`` is the latest time at which this instance can have become
+    the home of an account that it has no state of.
 
-    >>> home = AccountHome(since=0.0, window_s=1.0)
+    >>> home = AccountHome(known_since=0.0, window_s=1.0)
     >>> account = ClientAccount("a", rate_per_s=10.0, burst=10.0)
     >>> home.grant(account, needed=12.0, now=5.0).units
     12.5
@@ -76,24 +75,24 @@
     1.0
     """
 
-    since: float
+    known_since: float
     window_s: float = 8.0
     _states_by_name: dict[str, AccountState] = field(default_factory=dict)
 
-    def change_members(self, kept_names: Iterable[str], now: float) -> None:
-        """Take a new view of the fleet; forget what has another home."""
-        self.since = now
+    def retain_accounts(self, kept_names: Iterable[str], now: float) -> None:
+        """Drop all other accounts after a change of the members."""
+        self.known_since = now
         kept = set(kept_names)
         for name in self._states_by_name.keys() - kept:
             del self._states_by_name[name]
 
     def list_names(self) -> list[str]:
-        """Return the accounts of which something is granted here."""
+        """Return the names of the accounts that have state here."""
         return list(self._states_by_name)
 
-    def read_room(self, name: str, now: float) -> float:
-        """Return what an account may be granted now."""
-        return self._states_by_name[name].window.count_room(now)
+    def read_available(self, name: str, now: float) -> float:
+        """Return how many units an account may be granted now."""
+        return self._states_by_name[name].window.count_available(now)
 
     def grant(
         self,
@@ -103,50 +102,51 @@
         share: float = 1.0,
         deputy: bool = False,
     ) -> Grant:
-        """Grant what is needed, and a part of what lies there unasked for.
+        """Grant the units needed, and prefetched ones while plenty are free.
 
-        ``share`` is the part of the limit that is granted on this side of a
-        cut: as much of it as of the instances.
-        As the ``deputy`` of a home that may only be out of the asker's reach,
-        it begins with nothing: the home may have granted the rest.
+        ``share`` is the part of the limit that this side of a partition may
+        grant. A ``deputy`` starts with no capacity: the home may only be
+        unreachable for the asking instance, and may have granted the rest.
         """
-        since = now if deputy else self.since
-        state = self._get_state(account, share, since)
-        # A request larger than a window's whole room would never be served.
+        known_since = now if deputy else self.known_since
+        state = self._get_state(account, share, known_since)
+        # A request larger than a window's capacity would never be served.
         needed = min(needed, state.window.capacity)
-        room = state.window.count_room(now)
-        if room < needed or needed <= 0:
+        available = state.window.count_available(now)
+        if available < needed or needed <= 0:
             return self._refuse(state, needed, now)
-        spare = self._choose_spare(state, room - needed, now)
-        state.window.take(needed + spare, now)
-        return Grant(needed + spare)
+        prefetch = self._choose_prefetch(state, available - needed, now)
+        state.window.record_grant(needed + prefetch, now)
+        return Grant(needed + prefetch)
 
-    def _choose_spare(self, state: AccountState, room: float, now: float) -> float:
-        """Choose what is granted unasked for, while there is plenty.
+    def _choose_prefetch(
+        self, state: AccountState, available: float, now: float
+    ) -> float:
+        """Return how many units to grant beyond the need.
 
-        Guards against a window that is full of grants which lapsed unspent:
-        what is needed keeps a part of it.
+        A reserve is never prefetched. Guards against a window that is filled
+        by grants that expire unspent.
         """
-        most = state.window.rate_per_s * GRANT_TTL_S
-        plenty = room - RESERVED_SHARE * state.window.capacity
-        if plenty <= 0 or state.count_spare(now) >= most:
+        max_prefetch = state.window.rate_per_s * GRANT_TTL_S
+        surplus = available - RESERVED_SHARE * state.window.capacity
+        if surplus <= 0 or state.count_prefetched(now) >= max_prefetch:
             return 0.0
-        spare = SPARE_SHARE * min(plenty, most)
-        state.spare.append((now, spare))
-        return spare
+        prefetch = PREFETCH_SHARE * min(surplus, max_prefetch)
+        state.prefetched.append((now, prefetch))
+        return prefetch
 
     def _refuse(self, state: AccountState, needed: float, now: float) -> Grant:
-        """Tell when there is room, behind those who were refused before."""
+        """Return when to retry, after those who were refused before."""
         rate = state.window.rate_per_s
         if rate <= 0:
-            return Grant(0.0, LONGEST_WAIT_S)
+            return Grant(0.0, MAX_RETRY_AFTER_S)
         wait_s = state.window.find_wait_s(needed, now)
         wait_s += state.count_refused(now) / rate
         state.refused.append((now, needed))
-        return Grant(0.0, min(LONGEST_WAIT_S, max(SHORTEST_WAIT_S, wait_s)))
+        return Grant(0.0, min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)))
 
     def _get_state(
-        self, account: ClientAccount, share: float, since: float
+        self, account: ClientAccount, share: float, known_since: float
     ) -> AccountState:
         rate = account.rate_per_s * share
         burst = account.burst * share
@@ -154,7 +154,7 @@
         if state is None:
             if len(self._states_by_name) >= MAX_ACCOUNTS:
                 del self._states_by_name[next(iter(self._states_by_name))]
-            window = LimitWindow(rate, burst, self.window_s, since)
+            window = LimitWindow(rate, burst, self.window_s, known_since)
             state = self._states_by_name[account.name] = AccountState(window)
-        state.window.change(rate, burst)
+        state.window.set_limit(rate, burst)
         return state
--- a/tests/components/allowance/fleet.py
+++ b/tests/components/allowance/fleet.py
@@ -1,46 +1,46 @@
-"""A fleet on a virtual clock that admits requests of one account."""
+"""A simulated fleet on a virtual clock that admits one account's requests."""
 
 import random
 from collections import deque
 from dataclasses import dataclass, field
 
 from fescuekeel.components.allowance.bucket import TokenBucket
-from fescuekeel.components.allowance.const import HOMES
-from fescuekeel.components.allowance.fleet import FleetShare
+from fescuekeel.components.allowance.const import MAX_HOMES_ASKED
+from fescuekeel.components.allowance.fleet import PartitionShare
 from fescuekeel.components.allowance.holding import (
+    Admit,
     AskHome,
-    Holding,
-    MayBegin,
+    LocalAllowance,
 )
 from fescuekeel.components.allowance.home import AccountHome
 from fescuekeel.helpers.published import ClientAccount
 from fescuekeel.util import rendezvous
 
-# What the users allow beyond a limit, over any window of so many seconds.
+# How much a limit may be exceeded in any window of WINDOW_S.
 WINDOW_S = 8.0
 OVERAGE = 0.25
-# An instance stops serving so long after it last heard of the store.
-REVOKED_S = 5.0
-MEMORY_S = REVOKED_S + 2.0
-# How long the others take to find that an instance is gone.
-DETECT_S = 1.7
+# An instance stops serving this long after it last reached the store.
+REVOKED_BOUND_S = 5.0
+LOST_TTL_S = REVOKED_BOUND_S + 2.0
+# Time until the other instances detect that one is unreachable.
+DETECTION_S = 1.7
 
 
 @dataclass
 class Node:
-    """One instance: what it holds, its buckets, and whom it reaches."""
+    """One instance: its state, and its side of a partition."""
 
     id: str
     home: AccountHome
-    share: FleetShare
-    holding: Holding
+    share: PartitionShare
+    local: LocalAllowance
     side: int = 0
-    cut_at: float = float("inf")
+    partitioned_at: float = float("inf")
 
 
 @dataclass
 class Fleet:
-    """Instances, the requests that they admitted, and those refused."""
+    """Instances, and the requests that they admitted and refused."""
 
     account: ClientAccount
     size: int
@@ -49,96 +49,98 @@
     admitted: list[tuple[float, float]] = field(default_factory=list)
     refused: int = 0
     asked: int = 0
-    sides_apart: bool = False
+    is_partitioned: bool = False
 
     def __post_init__(self):
         self.random = random.Random(self.seed)
         self.nodes = {
             f"i{number}": Node(
                 f"i{number}",
-                AccountHome(since=self.now - 10.0),
-                FleetShare(MEMORY_S),
-                Holding(TokenBucket(0.0, 0.0, 0.0, self.now)),
+                AccountHome(known_since=self.now - 10.0),
+                PartitionShare(LOST_TTL_S),
+                LocalAllowance(TokenBucket(0.0, 0.0, 0.0, self.now)),
             )
             for number in range(self.size)
         }
         self._events = deque()
-        self.tell_members()
+        self.update_members()
 
-    def tell_members(self):
-        """Let each instance believe what is true of its own side."""
+    def update_members(self):
+        """Show each instance the members on its own side."""
         for node in self.nodes.values():
             seen = {
                 other.id: 1
                 for other in self.nodes.values()
-                if not self.sides_apart or other.side == node.side
+                if not self.is_partitioned or other.side == node.side
             }
-            before = node.share.present
-            node.share.take(seen, set(), self.now)
-            if node.share.present != before and before:
+            before = node.share.reachable
+            node.share.update_members(seen, set(), self.now)
+            if node.share.reachable != before and before:
                 kept = [self.account.name] if self.find_home(node) == node.id else []
-                node.home.change_members(kept, self.now)
+                node.home.retain_accounts(kept, self.now)
 
     def find_home(self, node):
-        return rendezvous.choose(self.account.name, node.share.present)
+        return rendezvous.choose(self.account.name, node.share.reachable)
 
     def reaches(self, node, other):
-        return not self.sides_apart or node.side == other.side
+        return not self.is_partitioned or node.side == other.side
 
     def request(self, id, price):
         """Send a request to an instance; return whether it was admitted."""
         node = self.nodes[id]
-        if self.now > node.cut_at + REVOKED_S:
+        if self.now > node.partitioned_at + REVOKED_BOUND_S:
             self.refused += 1
             return False
-        node.holding.change(self.account, node.share.count(self.now), self.now)
+        node.local.set_limit(
+            self.account, node.share.count_instances(self.now), self.now
+        )
         for _ in range(4):
-            decided = node.holding.spend(price, self.now)
-            if isinstance(decided, MayBegin):
+            decision = node.local.spend(price, self.now)
+            if isinstance(decision, Admit):
                 self.admitted.append((self.now, price))
                 return True
-            if not isinstance(decided, AskHome):
+            if not isinstance(decision, AskHome):
                 break
             self.ask(node, price)
         self.refused += 1
         return False
 
     def ask(self, node, price):
-        ranked = rendezvous.rank(self.account.name, node.share.present)
-        for id in ranked[:HOMES]:
+        ranked = rendezvous.rank(self.account.name, node.share.reachable)
+        for id in ranked[:MAX_HOMES_ASKED]:
             home = self.nodes[id]
             self.asked += 1
             if not self.reaches(node, home):
                 continue
-            share = home.share.read(self.now)
+            share = home.share.compute(self.now)
             deputy = self.find_home(home) != home.id or id != ranked[0]
             grant = home.home.grant(self.account, price, self.now, share, deputy)
-            node.holding.take_grant(grant, self.now)
+            node.local.apply_grant(grant, self.now)
             return
-        node.holding.note_silent(self.now)
+        node.local.start_fallback(self.now)
 
-    def cut(self, ids):
-        """Part some instances from the others, which notice a moment later."""
+    def partition(self, ids):
+        """Isolate some instances; both sides detect it after DETECTION_S."""
         for id in ids:
             self.nodes[id].side = 1
-        self.sides_apart = True
-        self._events.append((self.now + DETECT_S, self.tell_members))
+        self.is_partitioned = True
+        self._events.append((self.now + DETECTION_S, self.update_members))
 
-    def lose_power(self, down_s):
-        """Start every instance anew, with nothing that it knew."""
+    def restart_all(self, down_s):
+        """Restart every instance without its state."""
         self.now += down_s
         for node in self.nodes.values():
-            node.home = AccountHome(since=self.now)
-            node.share = FleetShare(MEMORY_S)
-            node.holding = Holding(TokenBucket(0.0, 0.0, 0.0, self.now))
-        self.tell_members()
+            node.home = AccountHome(known_since=self.now)
+            node.share = PartitionShare(LOST_TTL_S)
+            node.local = LocalAllowance(TokenBucket(0.0, 0.0, 0.0, self.now))
+        self.update_members()
 
     def heal(self):
-        self.sides_apart = False
-        self._events.append((self.now + DETECT_S, self.tell_members))
+        self.is_partitioned = False
+        self._events.append((self.now + DETECTION_S, self.update_members))
 
-    def play(self, seconds, per_s, price, ids=None):
-        """Send requests at a steady rate to some of the instances."""
+    def send_requests(self, seconds, per_s, price, ids=None):
+        """Send requests to some of the instances, at random intervals."""
         ids = list(ids or self.nodes)
         until = self.now + seconds
         while self.now < until:
@@ -147,20 +149,20 @@
                 self._events.popleft()[1]()
             self.request(self.random.choice(ids), price)
 
-    def count_worst_window(self):
-        """Return the most that was admitted in any window."""
-        worst = total = 0.0
+    def find_max_total(self):
+        """Return the highest total admitted in any window."""
+        highest = total = 0.0
         window = deque()
         for at, price in self.admitted:
             window.append((at, price))
             total += price
             while at - window[0][0] > WINDOW_S:
                 total -= window.popleft()[1]
-            worst = max(worst, total)
-        return worst
+            highest = max(highest, total)
+        return highest
 
     @property
-    def allowed(self):
-        """Return what the users allow in a window."""
+    def max_allowed(self):
+        """Return the highest total that a window may admit."""
         limit = self.account.rate_per_s * WINDOW_S + self.account.burst
         return limit * (1 + OVERAGE)
--- a/tests/components/allowance/test_component.py
+++ b/tests/components/allowance/test_component.py
@@ -1,4 +1,4 @@
-"""Tests of how requests are let in by their account's limit."""
+"""Tests of the admission of requests by their account's limit."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 def admit(*prices, account=LIMITED, waited_s=0.0):
-    """Send requests to an instance that is alone; return the refusals."""
+    """Send requests to a single instance; return the kinds of its failures."""
 
     async def work():
         clock = [START_S]
@@ -24,27 +24,27 @@
         instance.bus.publish_state(MemberView({"i1": member}))
         await allowances.start()
         clock[0] += waited_s
-        refused = [await allowances.admit("r", account, price) for price in prices]
-        return [None if failure is None else failure.kind for failure in refused]
+        failures = [await allowances.admit("r", account, price) for price in prices]
+        return [None if failure is None else failure.kind for failure in failures]
 
     return asyncio.run(work())
 
 
 class TestAdmit:
-    def test_what_has_come_in_is_granted(self):
+    def test_what_has_accrued_is_granted(self):
         assert admit(5.0, 5.0, waited_s=10.0) == [None, None]
 
-    def test_what_is_beyond_the_limit_is_refused(self):
+    def test_what_exceeds_the_limit_is_refused(self):
         kinds = admit(60.0, 60.0, waited_s=20.0)
         assert kinds == [None, ErrorKind.RATE_LIMITED]
 
-    def test_a_request_that_costs_nothing_is_let_in(self):
-        """A request that told zero tokens was refused for ever."""
+    def test_a_request_without_a_price_is_admitted(self):
+        """Guards against refusing every request of zero tokens."""
         assert admit(0.0) == [None]
 
-    def test_without_a_limit_everything_is_let_in(self):
+    def test_without_a_limit_everything_is_admitted(self):
         assert admit(1e9, account=ClientAccount("a")) == [None]
 
-    def test_a_request_larger_than_a_window_ends(self):
-        """It asked its home again and again, and no other was served."""
+    def test_a_request_larger_than_a_window_is_refused(self):
+        """Guards against a request that asks its home forever."""
         assert admit(1e9, waited_s=20.0) == [ErrorKind.RATE_LIMITED]
--- a/tests/components/allowance/test_fleet.py
+++ b/tests/components/allowance/test_fleet.py
@@ -1,7 +1,7 @@
-"""Tests of limits over all instances, on a virtual clock.
+"""Tests of limits across all instances, on a virtual clock.
 
-The users' bound: in any window of eight seconds no more than the rate and the
-burst, and a quarter.
+In any window of eight seconds an account is admitted at most 1.25 times what
+its rate and burst allow.
 """
 
 from dataclasses import replace
@@ -18,7 +18,7 @@
 
 
 def count_per_s(account, share):
-    """Return the requests a second that use a share of a limit."""
+    """Return the request rate that uses a share of an account's limit."""
     return account.rate_per_s / PRICE * share
 
 
@@ -26,132 +26,123 @@
     @pytest.mark.parametrize("size", SIZES)
     @pytest.mark.parametrize("account", [LARGE, SMALL], ids=["large", "small"])
     @pytest.mark.parametrize("seed", range(3))
-    def test_one_account_sends_six_times_its_usual(self, size, account, seed):
-        """One account's crowd took the places of all the others."""
+    def test_an_account_far_above_its_limit_is_bounded(self, size, account, seed):
+        """Guards against one account that takes the capacity of all others."""
         fleet = Fleet(account, size, seed)
-        fleet.play(10.0, count_per_s(account, 0.55), PRICE)
-        fleet.play(12.0, count_per_s(account, 3.3), PRICE)
-        assert fleet.count_worst_window() <= fleet.allowed
+        fleet.send_requests(10.0, count_per_s(account, 0.55), PRICE)
+        fleet.send_requests(12.0, count_per_s(account, 3.3), PRICE)
+        assert fleet.find_max_total() <= fleet.max_allowed
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_a_crowd_on_three_instances_only(self, seed):
+    def test_a_burst_on_three_instances_is_bounded(self, seed):
         fleet = Fleet(LARGE, 75, seed)
-        fleet.play(20.0, count_per_s(LARGE, 3.3), PRICE, ["i1", "i2", "i3"])
-        assert fleet.count_worst_window() <= fleet.allowed
+        fleet.send_requests(20.0, count_per_s(LARGE, 3.3), PRICE, ["i1", "i2", "i3"])
+        assert fleet.find_max_total() <= fleet.max_allowed
 
-    @pytest.mark.parametrize("apart", [1, 25, 37])
+    @pytest.mark.parametrize("isolated", [1, 25, 37])
     @pytest.mark.parametrize("seed", range(3))
-    def test_a_cut_gives_each_side_its_part(self, apart, seed):
-        """In a cut, both sides granted the whole limit."""
+    def test_a_partition_gives_each_side_its_share(self, isolated, seed):
+        """Guards against both sides granting the whole limit."""
         fleet = Fleet(LARGE, 75, seed)
-        fleet.play(10.0, count_per_s(LARGE, 2.0), PRICE)
-        fleet.cut(list(fleet.nodes)[:apart])
-        fleet.play(6.0, count_per_s(LARGE, 2.0), PRICE)
+        fleet.send_requests(10.0, count_per_s(LARGE, 2.0), PRICE)
+        fleet.partition(list(fleet.nodes)[:isolated])
+        fleet.send_requests(6.0, count_per_s(LARGE, 2.0), PRICE)
         fleet.heal()
-        fleet.play(10.0, count_per_s(LARGE, 2.0), PRICE)
-        assert fleet.count_worst_window() <= fleet.allowed
+        fleet.send_requests(10.0, count_per_s(LARGE, 2.0), PRICE)
+        assert fleet.find_max_total() <= fleet.max_allowed
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_a_lost_home_is_followed_without_granting_twice(self, seed):
+    def test_a_new_home_does_not_grant_again_what_a_lost_one_granted(self, seed):
         fleet = Fleet(LARGE, 75, seed)
-        fleet.play(10.0, count_per_s(LARGE, 2.0), PRICE)
+        fleet.send_requests(10.0, count_per_s(LARGE, 2.0), PRICE)
         home = fleet.find_home(fleet.nodes["i0"])
-        fleet.cut([home])
+        fleet.partition([home])
         others = [id for id in fleet.nodes if id != home]
-        fleet.play(10.0, count_per_s(LARGE, 2.0), PRICE, others)
-        assert fleet.count_worst_window() <= fleet.allowed
+        fleet.send_requests(10.0, count_per_s(LARGE, 2.0), PRICE, others)
+        assert fleet.find_max_total() <= fleet.max_allowed
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_a_limit_lowered_tenfold_binds_within_a_window(self, seed):
+    def test_a_lowered_limit_holds_after_one_window(self, seed):
         fleet = Fleet(LARGE, 75, seed)
-        fleet.play(12.0, count_per_s(LARGE, 2.0), PRICE)
+        fleet.send_requests(12.0, count_per_s(LARGE, 2.0), PRICE)
         lower = replace(LARGE, rate_per_s=11_800.0, burst=11_800.0)
         fleet.account = lower
-        fleet.play(8.0, count_per_s(LARGE, 2.0), PRICE)
+        fleet.send_requests(8.0, count_per_s(LARGE, 2.0), PRICE)
         fleet.admitted.clear()
-        fleet.play(16.0, count_per_s(LARGE, 2.0), PRICE)
-        assert fleet.count_worst_window() <= fleet.allowed
+        fleet.send_requests(16.0, count_per_s(LARGE, 2.0), PRICE)
+        assert fleet.find_max_total() <= fleet.max_allowed
 
-    @pytest.mark.parametrize("calm_share", [0.0, 0.02, 0.55])
-    @pytest.mark.parametrize("crowd_s", [1.0, 2.0, 3.0, 4.0, 5.0, 7.0])
+    @pytest.mark.parametrize("base_share", [0.0, 0.02, 0.55])
+    @pytest.mark.parametrize("burst_s", [1.0, 2.0, 3.0, 4.0, 5.0, 7.0])
     @pytest.mark.parametrize("seed", range(3))
-    def test_all_lose_power_in_a_crowd(self, calm_share, crowd_s, seed):
-        """An account ran more in eight seconds than is allowed.
-
-        It had used its whole window up when all instances lost power, and
-        those that started knew nothing of it.
-        """
+    def test_a_restart_of_all_in_a_burst_is_bounded(self, base_share, burst_s, seed):
+        """Guards against granting a used-up window again after a restart."""
         fleet = Fleet(LARGE, 75, seed)
-        if calm_share:
-            fleet.play(15.0, count_per_s(LARGE, calm_share), PRICE)
-        fleet.play(crowd_s, count_per_s(LARGE, 6.0), PRICE)
-        fleet.lose_power(down_s=0.5)
-        fleet.play(10.0, count_per_s(LARGE, 6.0), PRICE)
-        assert fleet.count_worst_window() <= fleet.allowed
+        if base_share:
+            fleet.send_requests(15.0, count_per_s(LARGE, base_share), PRICE)
+        fleet.send_requests(burst_s, count_per_s(LARGE, 6.0), PRICE)
+        fleet.restart_all(down_s=0.5)
+        fleet.send_requests(10.0, count_per_s(LARGE, 6.0), PRICE)
+        assert fleet.find_max_total() <= fleet.max_allowed
 
     @pytest.mark.parametrize("size", SIZES)
     @pytest.mark.parametrize("account", [LARGE, SMALL], ids=["large", "small"])
-    def test_without_any_home_each_instance_keeps_to_its_part(self, size, account):
-        """An account's requests are larger than an instance's whole part.
-
-        While its home was silent each instance let them all pass, since what
-        it had to spend could never pay for one.
-        """
+    def test_without_a_home_each_instance_keeps_to_its_share(self, size, account):
+        """Guards against admitting any request larger than the share."""
         fleet = Fleet(account, size)
-        fleet.ask = lambda node, price: node.holding.note_silent(fleet.now)
-        fleet.play(30.0, count_per_s(account, 3.3), PRICE)
-        assert fleet.count_worst_window() <= fleet.allowed
+        fleet.ask = lambda node, price: node.local.start_fallback(fleet.now)
+        fleet.send_requests(30.0, count_per_s(account, 3.3), PRICE)
+        assert fleet.find_max_total() <= fleet.max_allowed
 
 
 class TestService:
     @pytest.mark.parametrize("size", SIZES)
     @pytest.mark.parametrize("account", [LARGE, SMALL], ids=["large", "small"])
-    def test_a_small_crowd_on_few_instances_is_served(self, size, account):
-        """An account far below its limit got 429 after 429.
+    def test_low_load_on_few_instances_is_served(self, size, account):
+        """Guards against a limit split evenly over instances without traffic.
 
-        Its callers reach five instances of many, and each had an even part of
-        the limit, less than one request in a second.
+        An even share may be smaller than one request.
         """
         fleet = Fleet(account, size)
-        callers = list(fleet.nodes)[:5]
-        fleet.play(30.0, count_per_s(account, 0.55), PRICE, callers)
+        targets = list(fleet.nodes)[:5]
+        fleet.send_requests(30.0, count_per_s(account, 0.55), PRICE, targets)
         sent = len(fleet.admitted) + fleet.refused
         assert fleet.refused <= 0.02 * sent
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_beyond_a_limit_an_account_is_served_steadily(self, seed):
-        """For two seconds all of an account's requests were refused.
+    def test_above_its_limit_an_account_is_served_steadily(self, seed):
+        """Guards against refusing everything until the returned wait is over.
 
-        It sent half as much again as it may, ever since its limit had been
-        lowered. Whoever was refused once did not ask its home again for as
-        long as all that had been refused would take, four seconds at most.
+        The wait grows with the demand refused before, up to seconds.
         """
         before = replace(LARGE, rate_per_s=3 * LARGE.rate_per_s)
         fleet = Fleet(before, 75, seed)
-        callers = list(fleet.nodes)[:16]
-        fleet.play(12.0, count_per_s(LARGE, 1.5), PRICE, callers)
+        targets = list(fleet.nodes)[:16]
+        fleet.send_requests(12.0, count_per_s(LARGE, 1.5), PRICE, targets)
         fleet.account = LARGE
-        began = fleet.now
+        started_at = fleet.now
         fleet.admitted.clear()
-        fleet.play(24.0, count_per_s(LARGE, 1.5), PRICE, callers)
-        times = [at - began for at, _ in fleet.admitted]
-        fair = count_per_s(LARGE, 2.0)
+        fleet.send_requests(24.0, count_per_s(LARGE, 1.5), PRICE, targets)
+        times = [at - started_at for at, _ in fleet.admitted]
+        expected = count_per_s(LARGE, 2.0)
         for start in range(0, 24, 2):
             served = sum(start <= at < start + 2 for at in times)
-            assert served >= fair / 2
+            assert served >= expected / 2
 
-    def test_most_requests_wait_for_no_answer(self):
+    def test_most_requests_need_no_query_to_the_home(self):
         fleet = Fleet(LARGE, 75)
-        fleet.play(30.0, count_per_s(LARGE, 0.55), PRICE, list(fleet.nodes)[:16])
+        fleet.send_requests(
+            30.0, count_per_s(LARGE, 0.55), PRICE, list(fleet.nodes)[:16]
+        )
         assert fleet.asked <= len(fleet.admitted) / 2
 
-    def test_in_a_cut_each_side_serves_its_own(self):
-        """A whole data centre got 429 while it was cut off."""
+    def test_in_a_partition_each_side_serves_its_callers(self):
+        """Guards against refusing all requests of an isolated data centre."""
         fleet = Fleet(LARGE, 75)
-        fleet.play(10.0, count_per_s(LARGE, 0.55), PRICE)
-        fleet.cut(list(fleet.nodes)[:25])
+        fleet.send_requests(10.0, count_per_s(LARGE, 0.55), PRICE)
+        fleet.partition(list(fleet.nodes)[:25])
         fleet.refused = 0
         fleet.admitted.clear()
-        fleet.play(6.0, count_per_s(LARGE, 0.55), PRICE)
+        fleet.send_requests(6.0, count_per_s(LARGE, 0.55), PRICE)
         sent = len(fleet.admitted) + fleet.refused
         assert fleet.refused <= 0.1 * sent
