--- a/fescuekeel/components/plain/__init__.py
+++ b/fescuekeel/components/plain/__init__.py
@@ -1,4 +1,4 @@
-"""The plain component: the driver for plain services."""
+"""The plain component: the driver for plain HTTP services."""
 
 from fescuekeel.components.plain.const import DOMAIN
 from fescuekeel.components.plain.driver import PlainDriver
@@ -10,7 +10,7 @@
 
 
 class PlainComponent:
-    """Hold nothing: the driver is registered when it is imported."""
+    """A component without state: importing it registers the driver."""
 
     async def start(self) -> None:
         """Do nothing."""
@@ -20,7 +20,7 @@
 
 
 def setup(instance: Instance) -> Component:
-    """Set up the component."""
+    """Create the component."""
     return PlainComponent()
 
 
--- a/fescuekeel/components/plain/driver.py
+++ b/fescuekeel/components/plain/driver.py
@@ -1,4 +1,4 @@
-"""The driver for plain services."""
+"""The driver for plain HTTP services."""
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 from tornado.httpclient import HTTPResponse
@@ -34,7 +34,7 @@
 
 
 class RunningBody(BaseModel):
-    """One request that runs on the service."""
+    """A running request in a service's report."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -42,7 +42,7 @@
 
 
 class ReportBody(BaseModel):
-    """A plain service's report of itself."""
+    """A service's report of its state."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -52,7 +52,7 @@
 
 
 class PlainDriver:
-    """Speak to one plain service, which holds no adapters."""
+    """Connect to one plain HTTP service, which has no adapters."""
 
     def __init__(self, instance: Instance, address: str) -> None:
         self.instance = instance
@@ -60,7 +60,7 @@
         self.exchanges_by_request: dict[str, Exchange] = {}
 
     async def dispatch(self, call: Call, on_chunk: OnChunk) -> Outcome:
-        """Hand over a request and wait for its end."""
+        """Send a request and wait for its response."""
         try:
             response = await self._send(call)
         except ConnectError as error:
@@ -77,8 +77,8 @@
         )
 
     async def resume(self, call: Call, position: int, on_chunk: OnChunk) -> Outcome:
-        """Say that nothing can be taken up."""
-        return Outcome.unknown("plain services keep no answers")
+        """Return that a response can't be resumed."""
+        return Outcome.unknown("plain services can't resume responses")
 
     async def cancel(self, request_id: str) -> None:
         """Close the request's connection."""
@@ -89,17 +89,17 @@
     async def load(
         self, adapter: AdapterRef, fence: int, timeout_s: float, guard: Guard
     ) -> OrderOutcome:
-        """Say that there is nothing to load."""
-        return OrderOutcome(False, detail="plain services hold no adapters")
+        """Return that the service can't load adapters."""
+        return OrderOutcome(False, detail="plain services have no adapters")
 
     async def evict(
         self, adapter: AdapterRef, fence: int, timeout_s: float, guard: Guard
     ) -> OrderOutcome:
-        """Say that there is nothing to evict."""
-        return OrderOutcome(False, detail="plain services hold no adapters")
+        """Return that the service can't evict adapters."""
+        return OrderOutcome(False, detail="plain services have no adapters")
 
     async def report(self, timeout_s: float) -> Report | None:
-        """Return the service's report, or ``None`` when it can't be had."""
+        """Return the service's report, or ``None`` if it can't be read."""
         try:
             response = await self.client.fetch("GET", PATH_REPORT, timeout_s=timeout_s)
             body = ReportBody.model_validate_json(response.body)
@@ -116,11 +116,11 @@
         )
 
     async def read_cache_hints(self, since: int, timeout_s: float) -> CacheHints:
-        """Return nothing: plain services cache nothing that is of use here."""
+        """Return no hints: plain services have no prompt cache."""
         return CacheHints((), since)
 
     def close(self) -> None:
-        """Drop every connection."""
+        """Close all connections."""
         self.client.close()
 
     async def _send(self, call: Call) -> HTTPResponse:
--- a/tests/components/plain/test_driver.py
+++ b/tests/components/plain/test_driver.py
@@ -1,4 +1,4 @@
-"""Tests of the driver for plain services against their stand-in."""
+"""Tests of the driver for plain HTTP services, against a stand-in service."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,16 +11,16 @@
 from standins.plain import PlainService, start_plain
 from tests.common import eventually, make_settings
 
-Deliver = Callable[[PlainDriver, PlainService, list[bytes]], Awaitable[None]]
+Scenario = Callable[[PlainDriver, PlainService, list[bytes]], Awaitable[None]]
 
 
-def run(story: Deliver) -> None:
+def run(scenario: Scenario) -> None:
     async def main() -> None:
         service, server = await start_plain()
         driver = PlainDriver(Instance(make_settings()), server.address)
         try:
             async with asyncio.timeout(20):
-                await story(driver, service, [])
+                await scenario(driver, service, [])
         finally:
             driver.close()
             await server.stop()
@@ -43,76 +43,78 @@
 
 
 class TestDispatch:
-    def test_answer_and_method_are_passed_on(self) -> None:
-        async def story(
-            driver: PlainDriver, service: PlainService, got: list[bytes]
+    def test_method_and_response_are_forwarded(self) -> None:
+        async def scenario(
+            driver: PlainDriver, service: PlainService, received: list[bytes]
         ) -> None:
             call = make_call("/stock?x=1", b"", "GET")
             outcome = await driver.dispatch(
-                call, lambda at, data, tokens: got.append(data)
+                call, lambda at, data, tokens: received.append(data)
             )
             assert outcome.failure is None
             assert outcome.content_type.startswith("application/json")
-            assert len(got) == 1
+            assert len(received) == 1
             (seen,) = service.calls
             assert (seen.method, seen.path) == ("GET", "/stock?x=1")
             assert (seen.request_id, seen.key) == ("r1", "k1")
 
-        run(story)
+        run(scenario)
 
-    def test_error_of_the_service_is_its_answer(self) -> None:
-        async def story(
-            driver: PlainDriver, service: PlainService, got: list[bytes]
+    def test_an_error_response_of_the_service_is_forwarded(self) -> None:
+        async def scenario(
+            driver: PlainDriver, service: PlainService, received: list[bytes]
         ) -> None:
             service.control({"fail": 1})
             outcome = await driver.dispatch(
-                make_call(), lambda at, data, tokens: got.append(data)
+                make_call(), lambda at, data, tokens: received.append(data)
             )
             assert (outcome.status, outcome.ran) == (500, Ran.YES)
 
-        run(story)
+        run(scenario)
 
     def test_explicit_refusal_means_not_run(self) -> None:
-        async def story(
-            driver: PlainDriver, service: PlainService, got: list[bytes]
+        async def scenario(
+            driver: PlainDriver, service: PlainService, received: list[bytes]
         ) -> None:
             service.control({"refuse": 1})
             outcome = await driver.dispatch(
-                make_call(), lambda at, data, tokens: got.append(data)
+                make_call(), lambda at, data, tokens: received.append(data)
             )
             assert outcome.ran is Ran.NO
             assert outcome.failure.kind is ErrorKind.ENDPOINT_REFUSED
-            assert not got
+            assert not received
             assert not service.calls
 
-        run(story)
+        run(scenario)
 
-    def test_broken_connection_is_sent_once_and_unknown(self) -> None:
-        """A charge runs, and the connection closes before its answer.
+    def test_a_broken_connection_is_unknown_and_not_retried(self) -> None:
+        """Guards against running a request twice after a lost response.
 
-        A client that repeats by itself would charge twice; one that says
-        "not run" would make the caller do so.
+        The driver must neither retry the request nor report it as not run,
+        after which the caller would retry it.
         """
 
-        async def story(
-            driver: PlainDriver, service: PlainService, got: list[bytes]
+        async def scenario(
+            driver: PlainDriver, service: PlainService, received: list[bytes]
         ) -> None:
             service.control({"break_after": 1})
             outcome = await driver.dispatch(
-                make_call(), lambda at, data, tokens: got.append(data)
+                make_call(), lambda at, data, tokens: received.append(data)
             )
             assert outcome.ran is Ran.UNKNOWN
             assert len(service.calls) == 1
 
-        run(story)
+        run(scenario)
 
-    def test_report_names_running_calls(self) -> None:
-        async def story(
-            driver: PlainDriver, service: PlainService, got: list[bytes]
+    def test_report_lists_running_requests(self) -> None:
+        async def scenario(
+            driver: PlainDriver, service: PlainService, received: list[bytes]
         ) -> None:
             service.control({"delay_s": 0.2})
             task = asyncio.create_task(
-                driver.dispatch(make_call(), lambda at, data, tokens: got.append(data))
+                driver.dispatch(
+                    make_call(), lambda at, data, tokens: received.append(data)
+                )
             )
             await eventually(lambda: service.running)
             report = await driver.report(1.0)
@@ -120,4 +122,4 @@
             assert [item.request_id for item in report.running] == ["r1"]
             assert (await task).failure is None
 
-        run(story)
+        run(scenario)
