--- a/tests/components/keys/test_fuzz.py
+++ b/tests/components/keys/test_fuzz.py
@@ -27,8 +27,8 @@
     """Claim keys while instances join, leave, restart and see old lists.
 
     Messages wait in one queue per connection, from which they are delivered or
-    lost. Two homes of a key that crash within DELISTED_HOLD_S are not tried, as
-    at most one winner is not guaranteed then.
+    lost. At most one instance crashes within DELISTED_HOLD_S: the loss of two
+    homes of a key within that time is outside the guarantee.
     """
 
     def __init__(self):
