--- a/fescuekeel/components/turns/decision.py
+++ b/fescuekeel/components/turns/decision.py
@@ -72,7 +72,7 @@
 def choose_leader(
     members_by_id: Mapping[str, Member], unresponsive: Collection[str] = ()
 ) -> str | None:
-    """Return the leader among the members that are alive and responsive.
+    """Return the leader: an alive and responsive member, or else any member.
 
     >>> choose_leader({"i1": Member("i1", "", "dc1", 1)})
     'i1'
