--- a/fescuekeel/components/allowance/component.py
+++ b/fescuekeel/components/allowance/component.py
@@ -14,9 +14,9 @@
     MAX_ADMISSION_WAIT_S,
     MAX_HOMES_ASKED,
 )
-from fescuekeel.components.allowance.fleet import PartitionShare
 from fescuekeel.components.allowance.holding import AskHome, LocalAllowance, Refuse
 from fescuekeel.components.allowance.home import AccountHome, Grant
+from fescuekeel.components.allowance.partition import PartitionShare
 from fescuekeel.core import Instance
 from fescuekeel.errors import ErrorKind, Failure
 from fescuekeel.helpers.logging import log_event
