--- a/fescuekeel/components/allowance/component.py
+++ b/fescuekeel/components/allowance/component.py
@@ -14,8 +14,12 @@
     MAX_ADMISSION_WAIT_S,
     MAX_HOMES_ASKED,
 )
-from fescuekeel.components.allowance.holding import AskHome, LocalAllowance, Refuse
 from fescuekeel.components.allowance.home import AccountHome, Grant
+from fescuekeel.components.allowance.local_allowance import (
+    AskHome,
+    LocalAllowance,
+    Refuse,
+)
 from fescuekeel.components.allowance.partition import PartitionShare
 from fescuekeel.core import Instance
 from fescuekeel.errors import ErrorKind, Failure
--- a/tests/components/allowance/fleet.py
+++ b/tests/components/allowance/fleet.py
@@ -6,12 +6,12 @@
 
 from fescuekeel.components.allowance.bucket import TokenBucket
 from fescuekeel.components.allowance.const import MAX_HOMES_ASKED
-from fescuekeel.components.allowance.holding import (
+from fescuekeel.components.allowance.home import AccountHome
+from fescuekeel.components.allowance.local_allowance import (
     Admit,
     AskHome,
     LocalAllowance,
 )
-from fescuekeel.components.allowance.home import AccountHome
 from fescuekeel.components.allowance.partition import PartitionShare
 from fescuekeel.helpers.published import ClientAccount
 from fescuekeel.util import rendezvous
--- a/tests/components/allowance/test_holding.py
+++ b/tests/components/allowance/test_local_allowance.py
@@ -2,13 +2,13 @@
 
 from fescuekeel.components.allowance.bucket import TokenBucket
 from fescuekeel.components.allowance.const import RECHECK_S
-from fescuekeel.components.allowance.holding import (
+from fescuekeel.components.allowance.home import Grant
+from fescuekeel.components.allowance.local_allowance import (
     Admit,
     AskHome,
     LocalAllowance,
     Refuse,
 )
-from fescuekeel.components.allowance.home import Grant
 
 
 def make_local():
