--- a/tests/components/allowance/test_fleet.py
+++ b/tests/components/allowance/test_fleet.py
@@ -9,7 +9,7 @@
 import pytest
 
 from fescuekeel.helpers.published import ClientAccount
-from tests.components.allowance.fleet import Fleet
+from tests.components.allowance.simulation import Fleet
 
 PRICE = 1540.0
 LARGE = ClientAccount("large", None, 118_000.0, 118_000.0, True, 200)
