--- a/fescuekeel/components/keys/decision.py
+++ b/fescuekeel/components/keys/decision.py
@@ -6,10 +6,10 @@
 
 from collections import defaultdict
 
+from fescuekeel.components.keys.candidates import HomeCandidates
 from fescuekeel.components.keys.const import PAGE_RECORDS
 from fescuekeel.components.keys.homes import choose_homes
 from fescuekeel.components.keys.ledger import Ledger
-from fescuekeel.components.keys.universe import HomeCandidates
 from fescuekeel.errors import ErrorKind, Ran
 from fescuekeel.messages import (
     KeyAnswer,
