--- a/fescuekeel/components/allowance/const.py
+++ b/fescuekeel/components/allowance/const.py
@@ -25,7 +25,7 @@
 MAX_HOMES_ASKED: Final = 4
 # A request waits once for capacity that becomes free within this time.
 MAX_ADMISSION_WAIT_S: Final = 0.1
-# Bounds of the wait that refused callers are told.
+# Bounds of the wait that a refusal returns.
 MIN_RETRY_AFTER_S: Final = 0.1
 MAX_RETRY_AFTER_S: Final = 4.0
 # The home is queried again this long after a refusal: a smaller request may
--- a/fescuekeel/components/keys/homes.py
+++ b/fescuekeel/components/keys/homes.py
@@ -27,7 +27,7 @@
 
 
 def count_majority(homes: int) -> int:
-    """Return the smallest number of homes of which any two sets overlap.
+    """Return the majority: any two sets of this many homes overlap.
 
     >>> [count_majority(homes) for homes in (1, 2, 3)]
     [1, 2, 2]
