--- a/fescuekeel/components/allowance/const.py
+++ b/fescuekeel/components/allowance/const.py
@@ -33,10 +33,10 @@
 RECHECK_S: Final = 0.5
 # Refused requests lengthen the wait of later ones for this long.
 REFUSED_DEMAND_TTL_S: Final = 1.0
-# Lost instances count as admitting requests for this long, if the settings
-# bound their admission no sooner.
+# Lost instances count as admitting requests for this long if the settings give
+# no revoked_bound_s.
 LOST_INSTANCE_TTL_S: Final = 60.0
-# Added to the bound for revoked keys, within which an instance without the
-# current configuration stops: the time to detect the loss.
+# Added to revoked_bound_s, within which an instance without the current
+# configuration stops admitting: the time to detect that.
 LOST_DETECTION_MARGIN_S: Final = 2.0
 MAX_ACCOUNTS: Final = 4096
