--- a/fescuekeel/helpers/board.py
+++ b/fescuekeel/helpers/board.py
@@ -1,4 +1,8 @@
-"""What is known of endpoints' weights and load, and who orders them."""
+"""Local view of each endpoint's weights, load and order holder.
+
+The holder of an endpoint is the instance that may order it to load and unload
+weights.
+"""
 
 from collections.abc import Callable, Container, Iterable
 from dataclasses import dataclass, field
@@ -17,36 +21,33 @@
     "PlacementBoard",
 ]
 
-# Why a holder refuses to load at once.
+# The holder rejects a load request without queueing it.
 LOADS_WAIT = "too many loads wait"
-# Why a load can't begin now, though it could after a wait.
+# A load cannot start now, but could after a wait.
 NO_ROOM = "no place is free"
-# Why an instance cannot say: the asker's belief of who orders is old.
+# The asked instance is not the holder: the asker's view is stale.
 NOT_HOLDER = "not the holder"
-# Why a prompt gets no turn: its weights are not there (any more), or too many
-# prompts wait.
+# A prompt is not admitted: its weights are not loaded, or the queue is full.
 NOT_HELD = "not held"
 TURNS_WAIT = "too many prompts wait"
 
-# A holder's word counts for so long: two of its longest periods.
+# Lifetime of a holder's placement update: twice its longest update period.
 STATE_TTL_S = 2.0
-# What an endpoint has published of its weights is up to three seconds old when
-# it arrives here: endpoints publish every 1.2 s or so, and the store's changes
-# are gathered. Until then what a holder has answered counts instead.
-CORRECTION_S = 3.5
-# How many of these answers are remembered of one endpoint: more than it has
-# places, so that only very old ones are dropped.
-MAX_CORRECTIONS = 64
-# Whoever has not answered is not asked again for so long: its callers would
-# all wait in turn until it counts as gone, which takes some two seconds.
-SILENT_HOLDER_S = 1.0
+# A holder's reply overrides what the endpoint has published for this long:
+# longer than a change takes to be published and to arrive through the store.
+OVERRIDE_TTL_S = 3.5
+# Overrides kept per endpoint: more than it can hold adapters.
+MAX_OVERRIDES = 64
+# An unresponsive holder is not asked again for this long, so that requests do
+# not each run into the timeout before failure detection declares it dead.
+HOLDER_BACKOFF_S = 1.0
 
 
 @dataclass(slots=True)
 class EndpointState:
-    """What the holder of an endpoint's orders last told of it.
+    """The last placement update that an endpoint's holder sent.
 
-    ``number`` is the one of the list of what is held.
+    ``heard`` is when it arrived, and ``number`` that of its list of weights.
     """
 
     holder: str
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownLoad:
-    """How loaded an endpoint was at a moment, over all instances."""
+    """Load of an endpoint at one time, summed over all instances."""
 
     heard: float
     running: int
@@ -68,94 +69,98 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Correction:
-    """What a holder has answered of weights; no version: they are not held."""
+class VersionOverride:
+    """A version taken from a reply; ``None`` means that it is not loaded.
+
+    It takes precedence over what the endpoint has published.
+    """
 
-    noted: float
+    recorded_at: float
     version: int | None
 
 
 def find_no_candidate(endpoint: str) -> str | None:
-    """Know nobody, until the placement component has started."""
+    """Return no candidate; used until the placement component starts."""
     return None
 
 
 @dataclass(slots=True)
 class PlacementBoard:
-    """Hold what is known of each endpoint; the placement component owns it.
+    """Local view of all endpoints; the placement component owns it.
 
-    Holders tell the instances near their endpoints what these hold. All others
-    go by what endpoints have published and by what holders answered when they
-    were asked, so that what an instance hears depends on its own requests and
-    not on the size of the fleet. A wrong belief costs one more question.
+    Holders send placement updates to the instances near their endpoints. Other
+    instances use what endpoints have published and the replies of holders, so
+    that the traffic of an instance depends on its own requests and not on the
+    size of the fleet. A stale entry costs one extra round trip.
 
-    ``holders_by_endpoint`` are the holders that told of themselves, and
-    ``find_candidate`` names who is to hold an endpoint that none told of.
+    ``holders_by_endpoint`` has the holders that announced themselves.
+    ``find_candidate`` returns the instance that is expected to become the
+    holder of an endpoint, and ``is_near`` tells whether this instance receives
+    the placement updates of an endpoint.
     """
 
     states_by_endpoint: dict[str, EndpointState] = field(default_factory=dict)
     holders_by_endpoint: dict[str, str] = field(default_factory=dict)
     find_candidate: Callable[[str], str | None] = find_no_candidate
     is_near: Callable[[str], bool] = field(default=lambda endpoint: True)
-    _holders_answered: dict[str, str] = field(default_factory=dict)
+    _redirects_by_endpoint: dict[str, str] = field(default_factory=dict)
     _loads_by_endpoint: dict[str, KnownLoad] = field(default_factory=dict)
-    _corrections_by_endpoint: dict[str, dict[Weights, Correction]] = field(
+    _overrides_by_endpoint: dict[str, dict[Weights, VersionOverride]] = field(
         default_factory=dict
     )
-    _silent_until_by_holder: dict[str, float] = field(default_factory=dict)
+    _backoff_until_by_holder: dict[str, float] = field(default_factory=dict)
 
-    # Who orders.
+    # Holders.
 
     def find_holder(self, endpoint: str, now: float) -> str | None:
-        """Return who is to be asked about an endpoint, if anybody is.
+        """Return the instance to ask about an endpoint, if any.
 
-        A holder tells the instances near its endpoint of itself: where none
-        does, there is none. Elsewhere its candidate is asked, who knows.
+        Instances near an endpoint receive its holder's announcement; without
+        one there is no holder. Other instances ask the candidate, which knows.
         """
         holder = self.holders_by_endpoint.get(endpoint)
         if holder is None and not self.is_near(endpoint):
-            holder = self._holders_answered.get(endpoint)
+            holder = self._redirects_by_endpoint.get(endpoint)
             holder = holder or self.find_candidate(endpoint)
-        if holder is None or now < self._silent_until_by_holder.get(holder, now):
+        if holder is None or now < self._backoff_until_by_holder.get(holder, now):
             return None
         return holder
 
     def find_listener(self, endpoint: str) -> str | None:
-        """Return who is to hear of the uses of an endpoint.
+        """Return the instance that receives usage reports of an endpoint.
 
-        Guards against a holder that takes over and does not know what runs:
-        an instance that shuts down goes on with its streams for seconds, and
-        hears no more who orders their endpoints. It shows as an unload that
-        waits for one of them, while the endpoint refuses all other orders.
+        Unlike ``find_holder`` it falls back to the candidate near the endpoint
+        too. An instance that shuts down still serves its streams but receives
+        no announcements; a new holder that does not know of these streams
+        would order an unload that blocks the endpoint until they end.
         """
         holder = self.holders_by_endpoint.get(endpoint)
-        holder = holder or self._holders_answered.get(endpoint)
+        holder = holder or self._redirects_by_endpoint.get(endpoint)
         return holder or self.find_candidate(endpoint)
 
     def note_not_holder(self, endpoint: str, asked: str, holder: str) -> bool:
-        """Take word that another holds an endpoint; true if it is news."""
-        if self._holders_answered.get(endpoint) == asked:
-            del self._holders_answered[endpoint]
+        """Record a redirect to another holder; return whether it names one."""
+        if self._redirects_by_endpoint.get(endpoint) == asked:
+            del self._redirects_by_endpoint[endpoint]
         if not holder or holder == asked:
             return False
-        self._holders_answered[endpoint] = holder
+        self._redirects_by_endpoint[endpoint] = holder
         return True
 
     def note_silent(self, holder: str, now: float) -> None:
-        """Leave a holder alone that has not answered."""
-        self._silent_until_by_holder[holder] = now + SILENT_HOLDER_S
-        for endpoint, answered in list(self._holders_answered.items()):
+        """Stop asking an unresponsive holder for a while."""
+        self._backoff_until_by_holder[holder] = now + HOLDER_BACKOFF_S
+        for endpoint, answered in list(self._redirects_by_endpoint.items()):
             if answered == holder:
-                del self._holders_answered[endpoint]
+                del self._redirects_by_endpoint[endpoint]
 
-    # What holders tell.
+    # Placement updates.
 
     def hear(self, holder: str, state: PlacementState, now: float) -> None:
-        """Take the state that a holder has told.
+        """Apply a placement update from a holder.
 
-        A list that tells differences only counts after the one that it is
-        based on, of the same claim. Without that the state is left as it is
-        until the holder tells the whole list again.
+        A delta applies only to the list that it is based on, sent under the
+        same claim. Otherwise it is ignored until the holder's next full list.
         """
         held = _read_weights(state.held)
         if state.based_on:
@@ -182,75 +187,75 @@
             return None
         return state
 
-    # What holders answer.
+    # Replies to requests.
 
     def note_held(
         self, endpoint: str, weights: Weights, version: int, now: float
     ) -> None:
-        """Add what a holder has just answered, ahead of its next news."""
+        """Record weights that a holder reported loaded in a reply."""
         state = self.states_by_endpoint.get(endpoint)
         if state is not None:
             state.held[weights] = version
-        self._correct(endpoint, weights, Correction(now, version))
+        self._set_override(endpoint, weights, VersionOverride(now, version))
 
     def note_missing(self, endpoint: str, weights: Weights, now: float) -> None:
-        """Drop what an endpoint has just said it does not hold.
+        """Record that an endpoint rejected a request for missing weights.
 
-        Guards against sending a request there again before the holder's next
-        news: it shows as several refusals within milliseconds.
+        Prevents retries to the same endpoint before the holder's next update.
         """
         state = self.states_by_endpoint.get(endpoint)
         if state is not None:
             state.held.pop(weights, None)
-        self._correct(endpoint, weights, Correction(now, None))
+        self._set_override(endpoint, weights, VersionOverride(now, None))
 
-    def _correct(self, endpoint: str, weights: Weights, correction: Correction) -> None:
-        corrections = self._corrections_by_endpoint.setdefault(endpoint, {})
-        corrections.pop(weights, None)
-        corrections[weights] = correction
-        if len(corrections) > MAX_CORRECTIONS:
-            del corrections[next(iter(corrections))]
+    def _set_override(
+        self, endpoint: str, weights: Weights, override: VersionOverride
+    ) -> None:
+        overrides = self._overrides_by_endpoint.setdefault(endpoint, {})
+        overrides.pop(weights, None)
+        overrides[weights] = override
+        if len(overrides) > MAX_OVERRIDES:
+            del overrides[next(iter(overrides))]
 
     def note_load(
         self, endpoint: str, running: int, pending_tokens: int, now: float
     ) -> None:
-        """Take how loaded a holder has just said that an endpoint is."""
+        """Record the load of an endpoint from a holder's reply."""
         state = self.states_by_endpoint.get(endpoint)
         if state is not None:
             state.running = running
             state.pending_tokens = pending_tokens
         self._loads_by_endpoint[endpoint] = KnownLoad(now, running, pending_tokens)
 
-    # What is known.
+    # Queries.
 
     def find_version(
         self, record: EndpointRecord, weights: Weights, now: float
     ) -> int | None:
-        """Return the version of weights that an endpoint holds, if it does.
+        """Return the version of weights loaded at an endpoint, if any.
 
-        What an endpoint has published itself counts unless its holder tells:
-        after all instances were restarted, the first holder is known only
-        seconds later.
+        Without a recent update from the holder, such as after a restart of all
+        instances, recent replies and then the published record are used.
         """
         state = self._get_state(record.id, now)
         if state is not None:
             return state.held.get(weights)
-        corrections = self._corrections_by_endpoint.get(record.id)
-        correction = corrections.get(weights) if corrections else None
-        if correction is not None and now - correction.noted < CORRECTION_S:
-            return correction.version
+        overrides = self._overrides_by_endpoint.get(record.id)
+        override = overrides.get(weights) if overrides else None
+        if override is not None and now - override.recorded_at < OVERRIDE_TTL_S:
+            return override.version
         return record.held.get(weights)
 
     def is_answered_for(self, endpoint: str, now: float) -> bool:
-        """Tell whether what is known of an endpoint is no older than usual.
+        """Return whether the view of an endpoint is current.
 
-        Near endpoints are told of; of the others only what they published is
-        known, which ends with their entries.
+        A near endpoint needs a recent placement update. For any other one the
+        published record is all there is, and it is removed with the endpoint.
         """
         return self._get_state(endpoint, now) is not None or not self.is_near(endpoint)
 
     def read_load(self, endpoint: str, now: float) -> KnownLoad | None:
-        """Return how loaded an endpoint is, if anybody told of it lately."""
+        """Return the load of an endpoint, if a recent one is known."""
         state = self._get_state(endpoint, now)
         if state is not None:
             return KnownLoad(state.heard, state.running, state.pending_tokens)
@@ -260,12 +265,12 @@
         return load
 
     def forget_except(self, endpoints: Container[str]) -> None:
-        """Forget endpoints that are gone."""
+        """Remove all endpoints but the given ones."""
         for known in (
             self.states_by_endpoint,
-            self._holders_answered,
+            self._redirects_by_endpoint,
             self._loads_by_endpoint,
-            self._corrections_by_endpoint,
+            self._overrides_by_endpoint,
         ):
             for id in list(known):
                 if id not in endpoints:
--- a/fescuekeel/helpers/dialect.py
+++ b/fescuekeel/helpers/dialect.py
@@ -1,7 +1,7 @@
-"""What the product asks of the adapter that speaks a platform's dialect.
+"""Interface that a platform integration implements.
 
-A dialect translates names, formats and calls; every decision stays with the
-components that use it. It registers itself when its package is imported::
+A dialect only translates names, formats and calls; it takes no decisions. It
+registers itself when its package is imported::
 
     DIALECTS.register("mine", MyDialect())
 """
@@ -48,12 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerHead:
-    """What the head of a caller's request says.
+    """Metadata parsed from the headers of a caller's request.
 
-    ``time_left_s`` is ``None`` where the caller set no limit. ``headers`` are
-    those that go on to the endpoint unchanged. ``key_digest`` stands for the
-    caller's key, empty without one. ``tokens`` counts those of the prompt and
-    the most that may be made, ``None`` if the caller does not tell.
+    ``time_left_s`` is ``None`` if the caller set no deadline. ``headers`` are
+    forwarded to the endpoint unchanged. ``key_digest`` is the digest of the
+    caller's key, empty without one. ``tokens`` is the number of prompt tokens
+    plus the maximum number of output tokens, ``None`` if not given.
     """
 
     request_id: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHead:
-    """What the product adds to a request on its way to an endpoint.
+    """Metadata added to a request that is forwarded to an endpoint.
 
     ``account`` is the name of the caller's client account, empty if none.
     """
@@ -83,11 +83,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """What the head of an endpoint's answer says.
+    """Metadata parsed from the headers of an endpoint's response.
 
-    ``not_run`` is the endpoint's word that the request did not run and will
-    not. ``running`` and ``waiting`` are its load, where it tells.
-    ``idle_s`` is how long it keeps an idle connection, ``None`` if unsaid.
+    With ``not_run`` the endpoint guarantees that the request has not run and
+    will not. ``signed`` says that the response has the header that every
+    endpoint sets. ``running`` and ``waiting`` are its load, if given.
+    ``idle_s`` is its keep-alive timeout, ``None`` if not given.
     """
 
     not_run: bool
@@ -100,7 +101,7 @@
 
 
 class OrderKind(StrEnum):
-    """Name what an endpoint is ordered to do with weights."""
+    """Operation on weights that an endpoint is ordered to perform."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -108,10 +109,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightOrder:
-    """An order to an endpoint; ``version`` ``None`` takes the newest one.
+    """Order to an endpoint; ``version`` ``None`` means the newest one.
 
-    The endpoint refuses it as busy unless it has taken ``after_orders`` orders
-    since its start, whoever gave them; ``None`` leaves that open.
+    ``after_orders`` is a precondition: the endpoint replies ``busy`` unless it
+    has accepted exactly that many orders, from any holder, since its start.
+    ``None`` sends no precondition.
     """
 
     kind: OrderKind
@@ -124,7 +126,7 @@
 
 
 class OrderReply(StrEnum):
-    """Name how an endpoint took an order."""
+    """Reply of an endpoint to an order."""
 
     ACCEPTED = "accepted"
     HOLDS_ALREADY = "holds_already"
@@ -137,11 +139,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointReport:
-    """What an endpoint says of itself, some hundred milliseconds late.
+    """State reported by an endpoint; it lags by some hundred milliseconds.
 
-    ``pending`` are the adapters on their way to it, which take places too.
-    ``born_ms`` tells which start of the endpoint wrote it. ``orders_taken``
-    counts the orders that it had taken by then since that start.
+    ``pending`` are the adapters being loaded, which occupy capacity too.
+    ``born_ms`` is when the reporting process started. ``orders_taken`` counts
+    the orders that it has accepted since then.
     """
 
     held: dict[Weights, int]
@@ -156,7 +158,7 @@
 
 
 class SourceStatus(StrEnum):
-    """Name how the platform's store answered a reading call."""
+    """Result of a read from the platform's store."""
 
     OK = "ok"
     ABSENT = "absent"
@@ -166,9 +168,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceReply:
-    """The answer to a reading call.
+    """Response to a read from the store.
 
-    ``revision`` is the store's at the time of the answer and ``more`` says
+    ``revision`` is that of the store when it responded, and ``more`` says
     that another page follows the last key.
     """
 
@@ -180,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdapterVersion:
-    """A new version of an adapter that was named."""
+    """Published version of an adapter."""
 
     weights: Weights
     version: int
@@ -191,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpCall:
-    """A call in the platform's format, ready to be sent."""
+    """HTTP request in the platform's format."""
 
     method: str
     target: str
@@ -200,64 +202,64 @@
 
 
 class Dialect(Protocol):
-    """Translate between the product's types and a platform's formats.
+    """Translate between fescuekeel's types and a platform's formats.
 
-    Functions that read foreign bytes raise ``ValueError`` with a message that
-    names the field when these make no sense.
+    Methods that parse external input raise ``ValueError`` with a message that
+    names the invalid field.
     """
 
     ready_path: str
 
     def read_caller(self, headers: Mapping[str, str]) -> CallerHead:
-        """Return what a caller's request says."""
+        """Parse the headers of a caller's request."""
 
     def write_request(self, caller: CallerHead, send: SendHead) -> tuple[Header, ...]:
-        """Return the headers of a request to an endpoint."""
+        """Build the headers of a request to an endpoint."""
 
     def read_answer(self, status: int, headers: Mapping[str, str]) -> AnswerHead:
-        """Return what an endpoint's answer says."""
+        """Parse the headers of an endpoint's response."""
 
     def write_refusal(self, request_id: str, kind: ErrorKind) -> tuple[Header, ...]:
-        """Return the headers of an answer of our own."""
+        """Build the headers of an error response to a caller."""
 
     def make_order(self, order: WeightOrder) -> HttpCall:
-        """Return the call that gives an order."""
+        """Build the call that sends an order."""
 
     def read_order_reply(self, status: int) -> OrderReply:
-        """Return how an order was taken."""
+        """Parse the reply to an order."""
 
     def make_report_call(self, endpoint: str) -> HttpCall:
-        """Return the call that asks an endpoint for its report."""
+        """Build the call that reads an endpoint's report."""
 
     def read_report(self, body: bytes) -> EndpointReport:
-        """Return an endpoint's report."""
+        """Parse an endpoint's report."""
 
     def make_list_call(self, after_key: str) -> HttpCall:
-        """Return the call that lists a page of what is published."""
+        """Build the call that lists one page of the store."""
 
     def make_watch_call(self, after_revision: int, wait_s: float) -> HttpCall:
-        """Return the call that waits for changes."""
+        """Build the call that waits for changes in the store."""
 
     def read_source_reply(self, status: int, body: bytes) -> SourceReply:
-        """Return the store's answer."""
+        """Parse a response of the store."""
 
     def decode(self, item: PublishedItem) -> Decoded | None:
-        """Return what an item says, ``None`` if it is none of ours."""
+        """Decode an item; ``None`` if its key is of no known kind."""
 
     def classify(self, key: str) -> type | None:
-        """Return which of the decoded types a key holds."""
+        """Return the decoded type of a key's values, ``None`` if unknown."""
 
 
 class DialectRegistry:
-    """Hold the dialects by name."""
+    """Registry of dialects by name."""
 
     def __init__(self) -> None:
         self.dialects_by_name: dict[str, Dialect] = {}
 
     def register(self, name: str, dialect: Dialect) -> None:
-        """Add one dialect; a name is registered once."""
+        """Add a dialect; raise ``ValueError`` if the name is taken."""
         if name in self.dialects_by_name:
-            raise ValueError(f"dialect {name!r} is registered twice")
+            raise ValueError(f"dialect {name!r} is already registered")
         self.dialects_by_name[name] = dialect
 
 
@@ -265,10 +267,10 @@
 
 
 def get_dialect(platform: PlatformSettings) -> Dialect:
-    """Return the dialect that the settings name; import it if need be."""
+    """Return the dialect named in the settings; import it if necessary."""
     if platform.dialect not in DIALECTS.dialects_by_name:
         if platform.dialect_path and platform.dialect_path not in sys.path:
-            # At the end, so that nothing in the folder hides a known module.
+            # Appended, so that the folder cannot shadow installed modules.
             sys.path.append(platform.dialect_path)
         importlib.import_module(platform.dialect_module)
     return DIALECTS.dialects_by_name[platform.dialect]
--- a/fescuekeel/helpers/driver.py
+++ b/fescuekeel/helpers/driver.py
@@ -1,4 +1,4 @@
-"""What the owner of an endpoint asks of the driver that speaks to it."""
+"""Interface between the owner of an endpoint and the endpoint's driver."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -24,20 +24,20 @@
     "RunningCall",
 ]
 
-# Position of the first token, the bytes, and how many tokens they hold.
+# Takes the position of the first token, the bytes and their token count.
 OnChunk = Callable[[int, bytes, int], None]
-# Tells, right before an order is written, whether it may still be given.
+# Returns, right before a request is written, whether it may still be sent.
 Guard = Callable[[], bool]
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request on its way to an endpoint.
+    """Request to an endpoint.
 
     ``method``, ``path``, ``content_type`` and ``idempotency_key`` are for
-    plain services. ``remaining_s`` is the time left in seconds and ``fence``
-    the owner's fencing number, zero for none. Without ``guard`` the call is
-    always handed over.
+    plain services. ``remaining_s`` is the time to the deadline and ``fence``
+    the owner's fencing token, zero for none. ``guard`` is a last check before
+    the request is sent.
     """
 
     request_id: str
@@ -57,12 +57,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How a call ended.
+    """Result of a call.
 
-    Without a failure, all pieces of the answer have been handed to
-    ``on_chunk``. ``loaded`` is false when the endpoint said that it does not
-    hold the adapter, and ``stale_fence`` is the higher fencing number that
-    the endpoint refused the call for, zero otherwise.
+    Without a failure, the complete response has been passed to ``on_chunk``.
+    ``loaded`` is false if the endpoint reported that it does not hold the
+    adapter. ``stale_fence`` is the higher fencing token for which the endpoint
+    refused the call, zero otherwise.
     """
 
     failure: Failure | None = None
@@ -80,7 +80,7 @@
     def refused(
         cls, detail: str, *, loaded: bool = True, stale_fence: int = 0
     ) -> "Outcome":
-        """Return the outcome of a call that certainly did not run.
+        """Return the outcome of a call that definitely did not run.
 
         >>> Outcome.refused("full").ran.value
         'no'
@@ -100,11 +100,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderOutcome:
-    """How a load or an eviction ended; ``took_s`` in seconds.
+    """Result of a load or an eviction.
 
-    ``fence`` is the number that the order carried. ``unsure`` says that it
-    was sent but not answered: the endpoint may have obeyed it, or may still
-    do so.
+    ``fence`` is the fencing token that the order carried. ``unsure`` says that
+    it was sent but no reply came: the endpoint may have executed it, or may
+    still do so.
     """
 
     ok: bool
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningCall:
-    """A request that an endpoint reports as running."""
+    """Request that an endpoint reports as running."""
 
     request_id: str
     adapter: AdapterRef
@@ -125,10 +125,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What an endpoint says of itself, which lags.
+    """State reported by an endpoint, which lags behind.
 
-    ``boot_id`` changes with each cold start. ``step_s`` is in seconds.
-    ``leaving`` says that the endpoint wants no new work.
+    ``boot_id`` changes with each cold start. ``leaving`` says that the
+    endpoint accepts no new requests.
     """
 
     boot_id: str
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheHint:
-    """A prompt prefix that was stored in an endpoint's cache or removed."""
+    """Prompt prefix that was stored in an endpoint's cache or evicted."""
 
     prefix: str
     stored: bool
@@ -154,69 +154,73 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheHints:
-    """Cache events, late and with gaps; ask next from ``next_number`` on."""
+    """Cache events; they lag and have gaps.
+
+    The next call continues at ``next_number``.
+    """
 
     hints: tuple[CacheHint, ...]
     next_number: int
 
 
 class Driver(Protocol):
-    """Speak to one endpoint; every wire format stays inside.
+    """Client of one endpoint, which encapsulates its wire format.
 
-    No method raises on what an endpoint does, and none repeats a call by
-    itself. ``on_chunk`` receives each piece of an answer once, in the order of
-    positions: the number of the first token in the piece, zero for an answer
-    that comes in one piece. A whole stream ends with a piece of no tokens.
+    No method raises on a fault of the endpoint, and none retries.
+    ``on_chunk`` receives each chunk of a response once, ordered by position:
+    the index of its first token, zero for a response that is not streamed. A
+    complete stream ends with a chunk of no tokens.
     """
 
     async def dispatch(self, call: Call, on_chunk: OnChunk) -> Outcome:
-        """Hand over a request and wait for its end."""
+        """Send a request and wait until it has ended."""
 
     async def resume(self, call: Call, position: int, on_chunk: OnChunk) -> Outcome:
-        """Take up the answer of a request that runs, from a token on.
+        """Resume the stream of a running request at a token position.
 
-        Each token comes as a piece of its own.
+        Each token arrives as a separate chunk.
         """
 
     async def cancel(self, request_id: str) -> None:
-        """Stop a request and free its connection."""
+        """Cancel a request and close its connection."""
 
     async def load(
         self, adapter: AdapterRef, fence: int, timeout_s: float, guard: Guard
     ) -> OrderOutcome:
-        """Order a load and wait until it ended."""
+        """Order a load and wait until it has ended."""
 
     async def evict(
         self, adapter: AdapterRef, fence: int, timeout_s: float, guard: Guard
     ) -> OrderOutcome:
-        """Order an eviction and wait until it ended."""
+        """Order an eviction and wait until it has ended."""
 
     async def report(self, timeout_s: float) -> Report | None:
-        """Return the endpoint's report, or ``None`` when it can't be had."""
+        """Return the endpoint's report, ``None`` if it is unavailable."""
 
     async def read_cache_hints(self, since: int, timeout_s: float) -> CacheHints:
-        """Return cache events from a number on."""
+        """Return the cache events from a sequence number on."""
 
     def close(self) -> None:
-        """Drop every connection."""
+        """Close every connection."""
 
 
 Factory = Callable[[Instance, str], Driver]
 
 
 class DriverRegistry:
-    """Hold the factory of each kind's driver; drivers register themselves.
+    """Registry of driver factories by kind of pool.
 
-    A factory takes the instance and the endpoint's ``IP:PORT``.
+    Drivers register themselves. A factory takes the instance and the
+    endpoint's ``IP:PORT``.
     """
 
     def __init__(self) -> None:
         self.factories_by_kind: dict[PoolKind, Factory] = {}
 
     def register(self, kind: PoolKind, factory: Factory) -> None:
-        """Add the driver of one kind of pool."""
+        """Add a driver; raise ``ValueError`` if the kind is taken."""
         if kind in self.factories_by_kind:
-            raise ValueError(f"driver {kind!r} is registered twice")
+            raise ValueError(f"driver {kind!r} is already registered")
         self.factories_by_kind[kind] = factory
 
     def create(self, kind: PoolKind, instance: Instance, address: str) -> Driver:
--- a/fescuekeel/helpers/endpoint_http.py
+++ b/fescuekeel/helpers/endpoint_http.py
@@ -1,4 +1,4 @@
-"""The HTTP client towards endpoints, which never repeats a request."""
+"""HTTP client for endpoints; it never retries a request."""
 
 import asyncio
 import socket
@@ -25,8 +25,8 @@
     "SilenceWatch",
 ]
 
-# Far above what one instance can have open, so that no request ever waits in
-# the client's own queue, unseen by the deadlines.
+# Effectively unlimited: a request queued inside the HTTP client would not be
+# subject to the deadlines.
 MAX_CLIENTS = 1_000_000
 CONNECT_TIMEOUT_S = 1.0
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
@@ -36,17 +36,17 @@
 
 
 class ConnectError(Exception):
-    """Say that no connection was made, so that not one byte was sent."""
+    """No connection was established, so nothing was sent."""
 
 
 class BrokenError(Exception):
-    """Say that a connection broke or timed out after it had been made."""
+    """An established connection broke or timed out."""
 
 
 class Exchange:
-    """One request and what is needed to abandon it.
+    """One request, with a handle to abort it.
 
-    ``guard`` is asked once more when the connection stands, right before the
+    ``guard`` is checked once the connection is established, right before the
     first byte is written.
     """
 
@@ -56,43 +56,43 @@
         self.closed = False
 
     def close(self) -> None:
-        """Close the connection, now or as soon as it is made."""
+        """Close the connection, or have it closed once it is established."""
         self.closed = True
         if self.stream is not None:
             self.stream.close()
 
 
 class SilenceWatch:
-    """Close a connection on which nothing came for too long.
+    """Idle timeout: close a connection that receives no data.
 
-    Guards against a connection that one side has lost track of: it stays open
-    for good and no error ever shows. Once it is closed, what is missing can
-    be asked for on a new one. ``silent`` tells that this happened.
+    Without it a half-open connection would stay open without an error. Once it
+    is closed, the rest can be requested on a new one. ``silent`` says whether
+    the timeout has expired.
     """
 
     def __init__(self, exchange: Exchange, silence_s: float) -> None:
         self.exchange = exchange
         self.silence_s = silence_s
         self.silent = False
-        self._heard = time.monotonic()
+        self._last_data_at = time.monotonic()
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to watch."""
-        self._heard = time.monotonic()
+        """Start the timer."""
+        self._last_data_at = time.monotonic()
         self._check()
 
     def hear(self) -> None:
-        """Note that something came."""
-        self._heard = time.monotonic()
+        """Restart the timeout after data was received."""
+        self._last_data_at = time.monotonic()
 
     def stop(self) -> None:
-        """End the watch."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
     def _check(self) -> None:
-        left_s = self._heard + self.silence_s - time.monotonic()
+        left_s = self._last_data_at + self.silence_s - time.monotonic()
         if left_s > 0:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(left_s, self._check)
@@ -104,17 +104,17 @@
 CURRENT_EXCHANGE: ContextVar[Exchange | None] = ContextVar("exchange", default=None)
 
 
-class ConnectingClient(TCPClient):
-    """Tell a connection that was never made from one that broke.
+class TrackedTCPClient(TCPClient):
+    """Tell a failed connect from a broken connection.
 
-    Guards against a false "not run": the HTTP client reports both as an
-    ``OSError`` or a timeout. Only a failure inside ``connect``, before the
-    HTTP client holds a stream that it could write to, becomes
-    ``ConnectError``; whatever else happens counts as "may have run".
+    The HTTP client reports both as an ``OSError`` or a timeout. Only a failure
+    inside ``connect``, before the HTTP client has a stream to write to,
+    becomes ``ConnectError``, which means "not run"; after any other failure
+    the request may have run.
     """
 
     async def connect(self, host: str, port: int, *_: Any, **options: Any) -> IOStream:
-        """Connect, and note the stream in the exchange under way."""
+        """Connect, and store the stream in the current exchange."""
         try:
             async with asyncio.timeout(options.get("timeout")):
                 stream = await open_stream(host, port, options["max_buffer_size"])
@@ -125,10 +125,10 @@
             return stream
         if exchange.closed:
             stream.close()
-            raise ConnectError("abandoned")
-        # Guards against a process that is paused while it connects: it wakes
-        # up with a connection on which it must not give its order any more.
-        # The HTTP client writes in the same step of the loop as this check.
+            raise ConnectError("request was cancelled")
+        # The process may have been suspended while it connected, and its lease
+        # may have expired. The HTTP client writes in the same iteration of the
+        # event loop as this check.
         if exchange.guard is not None and not exchange.guard():
             stream.close()
             raise ConnectError(LEASE_LOST)
@@ -137,14 +137,13 @@
 
 
 async def open_stream(host: str, port: int, max_buffer_size: int | None) -> IOStream:
-    """Connect to an IP number.
+    """Connect to an IP address.
 
-    The library's own way tries several addresses in turn, for which it takes
-    more turns of the loop, and a busy loop's turns are what a request waits
-    for most.
+    Bypasses Tornado's connector, which resolves names and tries several
+    addresses and so needs more iterations of the event loop.
     """
     if not is_valid_ip(host):
-        raise OSError(f"{host} is no IP number")
+        raise OSError(f"{host} is not an IP address")
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     stream = IOStream(
         socket.socket(family, socket.SOCK_STREAM), max_buffer_size=max_buffer_size
@@ -157,26 +156,26 @@
     return stream
 
 
-class NoRepeatClient(SimpleAsyncHTTPClient):
-    """Use ``ConnectingClient`` below the library's HTTP client."""
+class NoRetryClient(SimpleAsyncHTTPClient):
+    """Tornado's HTTP client with ``TrackedTCPClient`` as its connector."""
 
     def initialize(self, **kwargs: Any) -> None:  # type: ignore[override]
         """Set up the client."""
         super().initialize(**kwargs)
         self.tcp_client.close()
-        self.tcp_client = ConnectingClient()
+        self.tcp_client = TrackedTCPClient()
 
 
 class EndpointClient:
     """Send requests to one endpoint.
 
-    Redirects are not followed, since that would send a body twice, and the
-    library's timeouts are set from the deadline of each request.
+    Redirects are not followed, since that would send a body twice. The
+    timeouts follow from the deadline of each request.
     """
 
     def __init__(self, address: str) -> None:
         self.base_url = f"http://{address}"
-        self.client = NoRepeatClient(
+        self.client = NoRetryClient(
             force_instance=True,
             max_clients=MAX_CLIENTS,
             max_body_size=MAX_ANSWER_BYTES,
@@ -199,12 +198,12 @@
     ) -> HTTPResponse:
         """Send one request once and return the response, whatever its status.
 
-        Raises ``ConnectError`` when nothing was sent, and ``BrokenError``
-        when the connection failed later.
+        Raises ``ConnectError`` if nothing was sent, and ``BrokenError`` if the
+        connection failed later.
         """
         exchange = exchange or Exchange()
         if self.closed or exchange.closed:
-            raise ConnectError("abandoned")
+            raise ConnectError("request was cancelled")
         request = HTTPRequest(
             self.base_url + path,
             method=method,
--- a/fescuekeel/helpers/events.py
+++ b/fescuekeel/helpers/events.py
@@ -1,8 +1,8 @@
-"""The closed list of events that are logged, and what each must tell.
+"""All events that are logged, and the fields that each requires.
 
-A line about a request has its id, what decided, how old that was or which
-version it had, and the outcome. A line about a belief has what it is about,
-the version or age of what changed it, and what is believed now.
+A line about a request has its id, the input to the decision with its age or
+version, and the outcome. A line about the view of a remote component names
+that component, the version or age of the information, and the new view.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,10 @@
 
 
 class Subject(StrEnum):
-    """Name what an event is about."""
+    """Category of an event.
+
+    ``BELIEF`` events change this instance's view of the rest of the system.
+    """
 
     REQUEST = "request"
     BELIEF = "belief"
@@ -24,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EventSpec:
-    """One event and the fields that each of its lines has."""
+    """Category and required fields of an event."""
 
     subject: Subject
     fields: tuple[str, ...]
 
 
-def _list(subject: Subject, lines: str) -> dict[str, EventSpec]:
-    """Read lines of an event's name and its fields."""
+def _parse_specs(subject: Subject, lines: str) -> dict[str, EventSpec]:
+    """Parse lines that have an event's name and its fields."""
     specs = {}
     for line in lines.strip().splitlines():
         name, *fields = line.split()
@@ -40,7 +43,7 @@
 
 
 EVENTS_BY_NAME: Final = {
-    **_list(
+    **_parse_specs(
         Subject.REQUEST,
         """
         allowance_refused request_id account price held home wait_ms outcome
@@ -53,7 +56,7 @@
         work_failed request_id endpoint kind ran detail outcome
         """,
     ),
-    **_list(
+    **_parse_specs(
         Subject.BELIEF,
         """
         catalog_from_peer peer since revision changed whole
@@ -81,7 +84,7 @@
         watch_duty_changed watching revision
         """,
     ),
-    **_list(
+    **_parse_specs(
         Subject.DEPENDENCY,
         """
         allowance_home_silent account home
@@ -98,7 +101,7 @@
         turn_leader_silent leader
         """,
     ),
-    **_list(
+    **_parse_specs(
         Subject.PROCESS,
         """
         callers_listening address
@@ -113,7 +116,7 @@
         stop_timeout domain
         """,
     ),
-    **_list(
+    **_parse_specs(
         Subject.FAULT,
         """
         actor_error actor error
--- a/fescuekeel/helpers/exchange.py
+++ b/fescuekeel/helpers/exchange.py
@@ -1,8 +1,7 @@
-"""HTTP/1.1 connections to endpoints and to the platform's store.
+"""HTTP/1.1 client connections to endpoints and to the platform's store.
 
-One exchange at a time goes over a connection, and none is ever repeated here.
-What a caller of this module has to know about a failure is one thing: whether
-a byte of the request can have reached the other side.
+A connection carries one request at a time, and nothing is retried here. The
+exceptions distinguish failures before anything was sent from all later ones.
 """
 
 import asyncio
@@ -19,7 +18,7 @@
 
 __all__ = [
     "AnswerBrokenError",
-    "BodyPiece",
+    "BodyChunk",
     "Connection",
     "ConnectionPool",
     "HttpAnswer",
@@ -29,41 +28,36 @@
     "fetch",
 ]
 
-# Reading from the socket pauses while so many bytes wait for a slow caller.
-MAX_UNREAD_BYTES = 256 * 1024
-# The kernel gives a connection up when sent data stays unacknowledged for so
-# long, which a machine without power or behind a cut shows in no other way.
+# Reading from the socket is paused beyond this, for backpressure.
+MAX_UNPARSED_BYTES = 256 * 1024
+# Closes a connection whose sent data stays unacknowledged, as after a power
+# failure or behind a network partition.
 TCP_USER_TIMEOUT_MS = 3000
-# Lingering is on, for no time at all: closing resets the connection.
+# SO_LINGER with a timeout of zero: closing sends RST.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-# A response head longer than this is not a response.
 MAX_HEAD_BYTES = 64 * 1024
-# An answer that is read whole, such as a report or a page, stays below this.
-MAX_WHOLE_BYTES = 16 * 1024 * 1024
-# Idle connections to one endpoint that are kept; beyond, they are closed.
-MAX_IDLE = 64
+# Bound on responses that are buffered, such as reports and store pages.
+MAX_BODY_BYTES = 16 * 1024 * 1024
+MAX_IDLE_CONNECTIONS = 64
 
 
 class NotConnectedError(Exception):
-    """Say that no connection was made, so that not one byte was sent."""
+    """No connection was established, so nothing was sent."""
 
 
 class AnswerBrokenError(Exception):
-    """Say that the answer ended before it was whole.
-
-    What was sent before may have had its effect.
-    """
+    """The response is incomplete; the request may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Status and headers of a response, names in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: tuple[Header, ...]
 
     def get(self, name: str, default: str = "") -> str:
-        """Return a header's first value."""
+        """Return the first value of a header."""
         for known, value in self.headers:
             if known == name:
                 return value
@@ -71,15 +65,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BodyPiece:
-    """Some bytes of a response's body."""
+class BodyChunk:
+    """Chunk of a response body."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """A response that was read whole."""
+    """Complete response."""
 
     status: int
     headers: tuple[Header, ...]
@@ -87,30 +81,29 @@
 
 
 class Connection(asyncio.Protocol):
-    """Own one connection and the exchange that it is used for.
+    """One connection and its current request.
 
-    ``fresh`` is true until the first exchange has ended: a failure on a
-    connection that was kept may only mean that the other side closed it while
-    it was idle.
+    ``fresh`` is true until the first request has ended: a failure on a reused
+    connection may only mean that the server closed it while it was idle.
     """
 
     def __init__(self) -> None:
         self.fresh = True
-        self.answering = False
+        self.awaiting_response = False
         self._http = h11.Connection(
             our_role=h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
         self._transport: asyncio.Transport | None = None
-        self._lost: str | None = None
-        self._unread: deque[bytes] = deque()
-        self._unread_bytes = 0
-        self._ended = False
-        self._woken: asyncio.Future[None] | None = None
+        self._close_reason: str | None = None
+        self._unparsed: deque[bytes] = deque()
+        self._unparsed_bytes = 0
+        self._eof_received = False
+        self._waiter: asyncio.Future[None] | None = None
 
-    # What asyncio calls.
+    # Protocol callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and set the socket's options."""
+        """Store the transport and set the socket options."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         raw = transport.get_extra_info("socket")
@@ -118,51 +111,52 @@
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Keep the bytes for the reader.
+        """Buffer the data for the reader.
 
-        Guards against an answer that comes twice or late: it shows as bytes
-        while no exchange is under way. They belong to no request, so that the
-        connection is not used again.
+        Data that arrives while no request is in progress belongs to a late or
+        duplicated response, so the connection is closed.
         """
-        if not self.answering:
+        if not self.awaiting_response:
             self.close()
             return
-        self._unread.append(data)
-        self._unread_bytes += len(data)
-        if self._unread_bytes > MAX_UNREAD_BYTES and self._transport is not None:
+        self._unparsed.append(data)
+        self._unparsed_bytes += len(data)
+        if self._unparsed_bytes > MAX_UNPARSED_BYTES and self._transport is not None:
             self._transport.pause_reading()
-        self._wake()
+        self._wake_waiter()
 
     def eof_received(self) -> bool:
-        """Note that the other side sends nothing more."""
-        self._ended = True
-        self._wake()
+        """Record that the server has closed its side."""
+        self._eof_received = True
+        self._wake_waiter()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note the end; an error such as a reset makes the answer broken."""
-        if error is not None or not self._ended:
-            self._lost = repr(error) if error is not None else "closed here"
-        self._wake()
+        """Record the end; after an error the response is incomplete."""
+        if error is not None or not self._eof_received:
+            self._close_reason = (
+                repr(error) if error is not None else "connection closed locally"
+            )
+        self._wake_waiter()
 
-    def _wake(self) -> None:
-        if self._woken is not None and not self._woken.done():
-            self._woken.set_result(None)
+    def _wake_waiter(self) -> None:
+        if self._waiter is not None and not self._waiter.done():
+            self._waiter.set_result(None)
 
-    # What the user of a connection calls.
+    # Public API.
 
     @property
     def usable(self) -> bool:
-        """Tell whether another exchange may begin."""
+        """Return whether another request may be sent."""
         open_ = self._transport is not None and not self._transport.is_closing()
-        return open_ and not self._ended and self._lost is None
+        return open_ and not self._eof_received and self._close_reason is None
 
     def send(
         self, method: str, target: str, headers: Sequence[Header], body: bytes
     ) -> None:
-        """Send a whole request; its answer is read next."""
+        """Send a complete request."""
         if self._transport is None or not self.usable:
-            raise NotConnectedError("closed while idle")
+            raise NotConnectedError("connection was closed while idle")
         request = h11.Request(
             method=method.encode("latin-1"),
             target=target.encode("latin-1"),
@@ -175,31 +169,33 @@
         if body:
             data += self._http.send(h11.Data(data=body)) or b""
         data += self._http.send(h11.EndOfMessage()) or b""
-        self.answering = True
+        self.awaiting_response = True
         self._transport.write(data)
 
     async def read_head(self) -> ResponseHead:
-        """Wait for the head of the answer."""
+        """Wait for the status and the headers of the response."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise AnswerBrokenError(f"no head but {type(event).__name__}")
+                raise AnswerBrokenError(
+                    f"expected a response head, got {type(event).__name__}"
+                )
             headers = tuple(
                 (name.decode("latin-1"), value.decode("latin-1"))
                 for name, value in event.headers
             )
             return ResponseHead(event.status_code, headers)
 
-    async def read_piece(self) -> BodyPiece | None:
-        """Wait for the next piece; ``None`` is the end of a whole answer."""
+    async def read_piece(self) -> BodyChunk | None:
+        """Wait for the next chunk; ``None`` ends a complete response."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
-            return BodyPiece(bytes(event.data))
+            return BodyChunk(bytes(event.data))
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise AnswerBrokenError(f"no body but {type(event).__name__}")
+        raise AnswerBrokenError(f"expected response body, got {type(event).__name__}")
 
     async def _next_event(self) -> object:
         while True:
@@ -212,47 +208,46 @@
             await self._feed()
 
     async def _feed(self) -> None:
-        while not self._unread:
-            if self._lost is not None:
-                raise AnswerBrokenError(self._lost)
-            if self._ended:
+        while not self._unparsed:
+            if self._close_reason is not None:
+                raise AnswerBrokenError(self._close_reason)
+            if self._eof_received:
                 self._http.receive_data(b"")
                 return
-            self._woken = asyncio.get_running_loop().create_future()
-            await self._woken
-        while self._unread:
-            self._http.receive_data(self._unread.popleft())
-        if self._unread_bytes > MAX_UNREAD_BYTES and self._transport is not None:
+            self._waiter = asyncio.get_running_loop().create_future()
+            await self._waiter
+        while self._unparsed:
+            self._http.receive_data(self._unparsed.popleft())
+        if self._unparsed_bytes > MAX_UNPARSED_BYTES and self._transport is not None:
             self._transport.resume_reading()
-        self._unread_bytes = 0
+        self._unparsed_bytes = 0
 
     def finish(self) -> bool:
-        """End the exchange; return whether the connection may be kept.
+        """End the request; return whether the connection can be reused.
 
-        Guards against bytes that follow a whole answer, and against an answer
-        that came before the request was taken in: either way what comes next
-        on this connection could be taken for another request's answer.
+        It is closed if data follows the complete response, or if the response
+        came before the whole request was sent: the next data could be taken
+        for the response to another request.
         """
-        self.answering = False
+        self.awaiting_response = False
         self.fresh = False
         extra, _ = self._http.trailing_data
         both_done = (
             self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         )
         unsent = self._transport is None or self._transport.get_write_buffer_size()
-        if not both_done or extra or self._unread or unsent or not self.usable:
+        if not both_done or extra or self._unparsed or unsent or not self.usable:
             self.close()
             return False
         self._http.start_next_cycle()
         return True
 
     def close(self) -> None:
-        """Reset the connection, which stops the work at an endpoint.
+        """Reset the connection, which cancels the request at the endpoint.
 
-        Guards against bytes that outlive their sender's patience: behind a
-        cut the kernel goes on sending what was written before an ordinary
-        close, so that an order or a request that was given up arrives once
-        the cut heals. A reset drops them.
+        After an ordinary close the kernel keeps retransmitting, so that a
+        cancelled request or order would still arrive once a network partition
+        heals. A reset drops the unsent data.
         """
         if self._transport is None:
             return
@@ -263,7 +258,7 @@
 
 
 async def connect(address: str, timeout_s: float) -> Connection:
-    """Open a connection to ``IP:PORT``; raise ``NotConnectedError``."""
+    """Connect to ``IP:PORT``; raises ``NotConnectedError``."""
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
     try:
@@ -275,11 +270,11 @@
 
 
 class ConnectionPool:
-    """Keep idle connections to one endpoint, the last used first.
+    """Idle connections to one endpoint, reused last in, first out.
 
-    Each is kept for a time of its own and then closed, so that a request is
-    not sent on a connection that the endpoint is about to close: it could
-    have run, and nobody would know.
+    Each has an expiry, which must be before the endpoint's keep-alive timeout:
+    a request sent while the endpoint closes the connection would have an
+    unknown outcome.
     """
 
     def __init__(self, address: str) -> None:
@@ -287,7 +282,7 @@
         self._idle: list[tuple[Connection, float]] = []
 
     def take(self, now: float) -> Connection | None:
-        """Return an idle connection that is safe to use, if there is one."""
+        """Return a usable idle connection, if there is one."""
         while self._idle:
             connection, until = self._idle.pop()
             if connection.usable and now < until:
@@ -296,18 +291,18 @@
         return None
 
     async def open(self, timeout_s: float) -> Connection:
-        """Open a new connection; raise ``NotConnectedError``."""
+        """Open a new connection; raises ``NotConnectedError``."""
         return await connect(self.address, timeout_s)
 
     def give_back(self, connection: Connection, until: float) -> None:
-        """Keep a connection whose exchange has ended."""
-        if len(self._idle) >= MAX_IDLE:
+        """Return a connection whose request has ended to the pool."""
+        if len(self._idle) >= MAX_IDLE_CONNECTIONS:
             connection.close()
             return
         self._idle.append((connection, until))
 
     def close_idle(self, now: float) -> None:
-        """Close what has been idle for too long."""
+        """Close expired and unusable connections."""
         kept = []
         for connection, until in self._idle:
             if connection.usable and now < until:
@@ -331,10 +326,10 @@
     body: bytes,
     timeout_s: float,
 ) -> HttpAnswer:
-    """Send a request and read the answer whole.
+    """Send a request and read the complete response.
 
-    Raises ``AnswerBrokenError`` when that does not succeed in time; the
-    connection is closed then.
+    Closes the connection and raises ``AnswerBrokenError`` if the response is
+    incomplete or late.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -343,8 +338,8 @@
             whole = bytearray()
             while (piece := await connection.read_piece()) is not None:
                 whole += piece.data
-                if len(whole) > MAX_WHOLE_BYTES:
-                    raise AnswerBrokenError("the answer is too long")
+                if len(whole) > MAX_BODY_BYTES:
+                    raise AnswerBrokenError("response body is too long")
     except TimeoutError as error:
         connection.close()
         raise AnswerBrokenError("timeout") from error
--- a/fescuekeel/helpers/freshness.py
+++ b/fescuekeel/helpers/freshness.py
@@ -1,22 +1,21 @@
-"""How old what this instance knows of the operators' intent may be."""
+"""Upper bound on the age of the catalog that this instance has."""
 
 from dataclasses import dataclass
 
 __all__ = ["Freshness"]
 
-# What is told of an age beyond this makes no difference any more, in seconds.
-LONGEST_AGE_S = 3600.0
+# Ages are capped here.
+MAX_AGE_S = 3600.0
 
 
 @dataclass(slots=True)
 class Freshness:
-    """Hold until when nothing newer is known to have been published.
+    """Time up to which all published changes are known.
 
-    ``confirmed_at`` is the latest moment of which it is known that the store
-    had nothing that is not known here. It is the time at which a question was
-    sent, less the age that its answer told: never that of the answer, which
-    may have been held up on its way. Seconds of a clock that goes on while
-    the machine is suspended.
+    ``confirmed_at`` is the latest time at which the store is known to have had
+    no change that is unknown here: when a request was sent, less the age given
+    in its response. The time at which the response arrived is not used, since
+    it may have been delayed. The clock must advance during suspend.
 
     >>> freshness = Freshness()
     >>> freshness.note_confirmed(asked=7.0, age_s=1.0)
@@ -27,9 +26,9 @@
     confirmed_at: float = float("-inf")
 
     def note_confirmed(self, asked: float, age_s: float) -> None:
-        """Take an answer to a question that was sent at ``asked``."""
+        """Apply the response to a request that was sent at ``asked``."""
         self.confirmed_at = max(self.confirmed_at, asked - age_s)
 
     def read_age_s(self, now: float) -> float:
-        """Return how old what is known may be."""
-        return min(LONGEST_AGE_S, now - self.confirmed_at)
+        """Return the maximum age of what is known, in seconds."""
+        return min(MAX_AGE_S, now - self.confirmed_at)
--- a/fescuekeel/helpers/homes.py
+++ b/fescuekeel/helpers/homes.py
@@ -1,4 +1,4 @@
-"""In which order a pool's endpoints are asked for an adapter."""
+"""Order in which a pool's endpoints are tried for an adapter."""
 
 from collections.abc import Iterable, Mapping, Sequence
 
@@ -11,7 +11,7 @@
 def rank_endpoints(
     pool: str, adapter: AdapterRef, endpoints_by_id: Mapping[str, LiveEntry]
 ) -> list[str]:
-    """Return a pool's endpoints, the adapter's home first.
+    """Return a pool's endpoints by rendezvous rank for the adapter.
 
     >>> from fescuekeel.messages import LiveRole
     >>> entry = LiveEntry("e1", LiveRole.ENDPOINT, "", "dc1", 1, pool="script")
@@ -29,8 +29,8 @@
 ) -> list[str]:
     """Put endpoints of data centres without a live instance last.
 
-    Guards against a cut: the instances on its other side all look dead, and
-    so nobody here can reach the endpoints there, which still rank as homes.
+    During a network partition all instances on the other side appear dead, and
+    the endpoints there are unreachable, though still ranked.
     """
     live = {member.data_centre for member in members_by_id.values()}
     return sorted(ranked, key=lambda id: endpoints_by_id[id].data_centre not in live)
@@ -42,7 +42,7 @@
     endpoints_by_id: Mapping[str, LiveEntry],
     members_by_id: Mapping[str, Member],
 ) -> Sequence[str]:
-    """Return a pool's endpoints in the order in which they are asked."""
+    """Return a pool's endpoints in the order in which they are tried."""
     ranked = rank_endpoints(pool, adapter, endpoints_by_id)
     return rank_live_endpoints(ranked, endpoints_by_id, members_by_id)
 
--- a/fescuekeel/helpers/http.py
+++ b/fescuekeel/helpers/http.py
@@ -1,4 +1,4 @@
-"""What the system's HTTP clients, or its servers, have in common."""
+"""Helpers shared by HTTP clients and servers."""
 
 import asyncio
 from typing import Any
@@ -7,22 +7,20 @@
 
 __all__ = ["begin_fetch", "read_bearer"]
 
-BEARER = "bearer "
+BEARER_PREFIX = "bearer "
 
 
 def begin_fetch(
     client: AsyncHTTPClient, request: HTTPRequest, **options: Any
 ) -> asyncio.Future[HTTPResponse]:
-    """Start a call that may be given up at any time.
+    """Start a call whose result may never be awaited.
 
-    Guards against noise that hides real errors: whoever waits may be
-    cancelled, or the client closed, and the call ends later with an error
-    that nobody waits for. The library logs that of a cancelled future, so the
-    call is shielded, and asyncio that of one which is never looked at, so
-    that it is looked at here.
+    The caller may be cancelled, or the client closed, before the call fails.
+    Tornado logs errors of cancelled futures, so the call is shielded; asyncio
+    logs exceptions that are never retrieved, so they are retrieved here.
     """
     future = client.fetch(request, **options)
-    future.add_done_callback(_retrieve)
+    future.add_done_callback(_retrieve_exception)
     return asyncio.shield(future)
 
 
@@ -32,11 +30,11 @@
     >>> read_bearer("Bearer top-hat"), read_bearer("Basic abc")
     ('top-hat', '')
     """
-    if not authorization.lower().startswith(BEARER):
+    if not authorization.lower().startswith(BEARER_PREFIX):
         return ""
-    return authorization[len(BEARER) :].strip()
+    return authorization[len(BEARER_PREFIX) :].strip()
 
 
-def _retrieve(future: asyncio.Future[HTTPResponse]) -> None:
+def _retrieve_exception(future: asyncio.Future[HTTPResponse]) -> None:
     if not future.cancelled():
         future.exception()
--- a/fescuekeel/helpers/incarnation.py
+++ b/fescuekeel/helpers/incarnation.py
@@ -1,24 +1,24 @@
-"""One start of an endpoint, told apart from its other starts."""
+"""Identity of one run of an endpoint."""
 
 from functools import lru_cache
 from typing import NamedTuple, Self
 
 __all__ = ["UNTOLD_BORN_MS", "Incarnation"]
 
-# What counts as the birth of an endpoint whose platform does not tell it.
+# Start time of an endpoint whose platform does not report one.
 UNTOLD_BORN_MS = 0
 SEPARATOR = "@"
-# More than there are endpoints: the same texts are read again at each step.
-MAX_SPLIT_TEXTS = 4096
+# More than there are endpoints.
+SPLIT_CACHE_SIZE = 4096
 
 
 class Incarnation(NamedTuple):
-    """Name one start of an endpoint: its name, and when it was born.
+    """Name of an endpoint and the start time of its process.
 
-    An endpoint that starts again may keep its name, but holds and knows
-    nothing of before. All state that is kept by endpoint is kept under the
-    text of an incarnation, so that it ends with it. ``born_ms`` is in Unix
-    milliseconds, of the endpoint's own clock.
+    An endpoint may keep its name across a restart but loses its state. State
+    per endpoint is therefore keyed by the string of its incarnation.
+    ``born_ms`` is the start time in Unix milliseconds, by the endpoint's own
+    clock.
 
     >>> str(Incarnation("e1", 1700000000000)), str(Incarnation("e1"))
     ('e1@1700000000000', 'e1')
@@ -33,17 +33,17 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Return the incarnation that a text names."""
+        """Parse the string form."""
         return cls(*_split(text))
 
     def __str__(self) -> str:
-        """Return the text that state is kept under."""
+        """Return the string form, used as a key."""
         if self.born_ms == UNTOLD_BORN_MS and SEPARATOR not in self.name:
             return self.name
         return f"{self.name}{SEPARATOR}{self.born_ms}"
 
 
-@lru_cache(MAX_SPLIT_TEXTS)
+@lru_cache(SPLIT_CACHE_SIZE)
 def _split(text: str) -> tuple[str, int]:
     name, separator, born_ms = text.rpartition(SEPARATOR)
     if not separator:
--- a/fescuekeel/helpers/key_link.py
+++ b/fescuekeel/helpers/key_link.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of the idempotency keys."""
+"""Interface of the keys component to the gateway."""
 
 from typing import Protocol, cast
 
@@ -7,13 +7,13 @@
 from fescuekeel.core import Instance
 from fescuekeel.errors import Failure, Ran
 
-__all__ = ["KEYS_DOMAIN", "KeyLink", "get_key_link"]
+__all__ = ["KEYS_DOMAIN", "IdempotencyKeys", "get_key_link"]
 
 KEYS_DOMAIN = "keys"
 
 
-class KeyLink(Protocol):
-    """Claim idempotency keys and settle them."""
+class IdempotencyKeys(Protocol):
+    """Claim and settle idempotency keys."""
 
     async def claim(
         self, key: str, request_id: str, digest: str, lifetime_s: float
@@ -21,9 +21,9 @@
         """Claim a key for one request before it may run."""
 
     def settle(self, key: str, request_id: str, ran: Ran) -> None:
-        """Tell what became of the request that claimed the key."""
+        """Report whether the request that claimed the key has run."""
 
 
-def get_key_link(instance: Instance) -> KeyLink:
-    """Return the keys of an instance."""
-    return cast(KeyLink, instance.components_by_domain[KEYS_DOMAIN])
+def get_key_link(instance: Instance) -> IdempotencyKeys:
+    """Return the keys component of an instance."""
+    return cast(IdempotencyKeys, instance.components_by_domain[KEYS_DOMAIN])
--- a/fescuekeel/helpers/listen.py
+++ b/fescuekeel/helpers/listen.py
@@ -1,4 +1,4 @@
-"""Addresses as settings have them, and sockets that listen there."""
+"""Parse listen addresses and bind sockets to them."""
 
 import socket
 
@@ -18,9 +18,9 @@
 
 
 def bind_address(address: str) -> tuple[list[socket.socket], str]:
-    """Return listening sockets and the address that they have.
+    """Return listening sockets and their address.
 
-    Port 0 takes a free one, which the returned address then shows.
+    Port 0 binds a free port; the returned address has the actual one.
     """
     host, port = split_address(address)
     sockets = bind_sockets(port, host)
--- a/fescuekeel/helpers/logging.py
+++ b/fescuekeel/helpers/logging.py
@@ -1,8 +1,7 @@
-"""Logging: events written as one line of key=value pairs each.
+"""Structured logging: each event is one line of key=value pairs.
 
 An event is a mapping with ``timestamp``, ``message_type`` and its fields, as
-eliot has it. That library itself is too dear for small machines, in the time
-that a daemon takes to start and in what each line costs.
+in eliot, which is not used because of its import time and cost per line.
 """
 
 import sys
@@ -22,19 +21,19 @@
 
 Destination = Callable[[dict[str, Any]], None]
 
-QUEUE_LINES = 10_000
-# Lines a second of one event, for those that tell of success and for all
-# others. Three times the load of the largest site is 300 requests a second
-# over all its instances, so that one instance stays far below.
+MAX_QUEUED_LINES = 10_000
+# Rate limits per event, for successes and for all other outcomes.
 SUCCESS_LINES_PER_S = 100
 OTHER_LINES_PER_S = 400
-SUCCESSES = frozenset({"answered", "loaded", "accepted", "holds_already", "granted"})
-PAUSE_S = 0.05
+SUCCESS_OUTCOMES = frozenset(
+    {"answered", "loaded", "accepted", "holds_already", "granted"}
+)
+FLUSH_INTERVAL_S = 0.05
 HIDDEN_FIELDS = frozenset({"timestamp", "message_type"})
 
 
 def format_line(message: dict[str, Any]) -> str:
-    r"""Format an event as ``key=value`` pairs, time and event first.
+    r"""Format an event as ``key=value`` pairs, time and event name first.
 
     >>> format_line({"timestamp": 1.5, "message_type": "started", "port": 80})
     'time=1.500 event=started port=80'
@@ -61,87 +60,85 @@
 
 
 class LineDestination:
-    """Write log lines from a thread of its own.
+    """Write log lines in a background thread.
 
-    Guards against a slow log sink: destinations are called in line, so that
-    a blocked pipe would stop every stream. The queue is bounded and a line
-    that finds it full is dropped and counted in ``dropped``.
+    A blocked log pipe must not block the event loop, in which destinations are
+    called. The queue is bounded; ``dropped`` counts the lines that were
+    dropped because it was full or by the rate limit.
     """
 
     def __init__(self, stream: TextIO | None = None) -> None:
         self._stream = stream or sys.stdout
         self._lines: deque[str] = deque()
-        self._woken = threading.Event()
+        self._lines_pending = threading.Event()
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._write, daemon=True)
         self.dropped = 0
-        self._second = 0
-        self._passed: Counter[tuple[str, bool]] = Counter()
-        self._left_out: Counter[str] = Counter()
+        self._current_second = 0
+        self._line_counts: Counter[tuple[str, bool]] = Counter()
+        self._dropped_by_event: Counter[str] = Counter()
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Queue one message, unless there are too many of its kind.
+        """Queue one message, unless its event is over the rate limit.
 
-        Guards against a log that grows without bound under load: each event
-        has a number of lines a second, successes fewer than failures, and one
-        line tells how many were left out.
+        Successes have a lower limit than failures. A ``lines_dropped`` event
+        gives the number of dropped lines of each event.
         """
-        if not self._may_pass(message):
+        if not self._is_within_limit(message):
             return
         self._append(message)
 
-    def _may_pass(self, message: dict[str, Any]) -> bool:
+    def _is_within_limit(self, message: dict[str, Any]) -> bool:
         second = int(message.get("timestamp") or time.time())
-        if second != self._second:
-            self._second = second
-            self._passed.clear()
-            self._tell_dropped(second)
-        success = message.get("outcome") in SUCCESSES
+        if second != self._current_second:
+            self._current_second = second
+            self._line_counts.clear()
+            self._log_dropped(second)
+        success = message.get("outcome") in SUCCESS_OUTCOMES
         event = str(message.get("message_type", "unnamed"))
-        self._passed[event, success] += 1
+        self._line_counts[event, success] += 1
         limit = SUCCESS_LINES_PER_S if success else OTHER_LINES_PER_S
-        if self._passed[event, success] <= limit:
+        if self._line_counts[event, success] <= limit:
             return True
-        self._left_out[event] += 1
+        self._dropped_by_event[event] += 1
         self.dropped += 1
         return False
 
-    def _tell_dropped(self, second: int) -> None:
-        for event, count in self._left_out.items():
+    def _log_dropped(self, second: int) -> None:
+        for event, count in self._dropped_by_event.items():
             told = {"timestamp": second, "message_type": "lines_dropped"}
             self._append({**told, "dropped": event, "count": count})
-        self._left_out.clear()
+        self._dropped_by_event.clear()
 
     def _append(self, message: dict[str, Any]) -> None:
-        if len(self._lines) >= QUEUE_LINES:
+        if len(self._lines) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
         self._lines.append(format_line(message))
-        # To wake the thread costs more than the line itself, so that it is
-        # done once for all the lines of a pause.
-        if not self._woken.is_set():
-            self._woken.set()
+        # Waking the thread costs more than a line: once per flush is enough.
+        if not self._lines_pending.is_set():
+            self._lines_pending.set()
 
     def start(self) -> None:
-        """Begin to receive messages."""
+        """Start the thread and receive events."""
         self._thread.start()
         add_destination(self)
 
     def stop(self) -> None:
-        """Write what is queued and end."""
+        """Flush the queue and stop the thread."""
         remove_destination(self)
         self._stopping.set()
-        self._woken.set()
+        self._lines_pending.set()
         self._thread.join(timeout=2.0)
 
     def _write(self) -> None:
         while not self._stopping.is_set():
-            self._woken.wait()
-            # Cleared before the queue is read: a line that comes later wakes
-            # the thread again and does not lie there until the next one.
-            self._woken.clear()
+            self._lines_pending.wait()
+            # Cleared before the queue is read, so that a line added meanwhile
+            # wakes the thread again.
+            self._lines_pending.clear()
             self._write_queued()
-            self._stopping.wait(PAUSE_S)
+            self._stopping.wait(FLUSH_INTERVAL_S)
         self._write_queued()
 
     def _write_queued(self) -> None:
@@ -155,12 +152,12 @@
 
 
 def add_destination(destination: Destination) -> None:
-    """Have a function called with each event from now on."""
+    """Call a function with each event from now on."""
     _destinations.append(destination)
 
 
 def remove_destination(destination: Destination) -> None:
-    """Call a function with no further event."""
+    """Stop calling a function with events."""
     _destinations.remove(destination)
 
 
--- a/fescuekeel/helpers/losses.py
+++ b/fescuekeel/helpers/losses.py
@@ -1,8 +1,8 @@
-"""Tell from instances' logs where requests lost their time; pure.
+"""Latency breakdown of requests, computed from instances' logs.
 
-A request's time has five parts: the wait for its adapter to be loaded, the
-wait for its turn at the engine, other waits for an endpoint, the time at the
-endpoint until the first piece, and pauses within the answer.
+The stages of a request are the wait for its adapter to be loaded, the wait for
+admission at the engine, the time at the endpoint until the first chunk, and
+pauses within the response.
 """
 
 from collections import Counter, defaultdict
@@ -12,13 +12,20 @@
 
 from fescuekeel.helpers.trace import LogLine, parse_line
 
-__all__ = ["Fate", "Losses", "RequestTimes", "RouteLosses", "Stage", "read_losses"]
+__all__ = [
+    "Losses",
+    "RequestResult",
+    "RequestTimes",
+    "RouteLosses",
+    "Stage",
+    "read_losses",
+]
 
 MS_PER_S = 1000.0
 
 
 class Stage(StrEnum):
-    """Name a part of a request's time."""
+    """Stage of a request."""
 
     LOAD = "load"
     TURN = "turn"
@@ -26,8 +33,8 @@
     PAUSE = "pause"
 
 
-class Fate(StrEnum):
-    """Name how a request ended, for its caller."""
+class RequestResult(StrEnum):
+    """Result of a request as its caller saw it."""
 
     ON_TIME = "on_time"
     LATE = "late"
@@ -36,40 +43,41 @@
     GONE = "gone"
 
 
-# Ends that say "not run"; every other end but an answer is a failure.
+# Outcomes that mean "not run". All others but ``answered`` and
+# ``caller_gone`` are failures.
 REFUSALS = frozenset(
     {"load_failed", "queue_full", "no_endpoint", "too_late", "draining"}
 )
-LEFT_BY_CALLER = "caller_gone"
+CALLER_GONE = "caller_gone"
 ANSWERED = "answered"
 
 
 @dataclass(slots=True)
 class RequestTimes:
-    """The times of one request, in seconds, and how it ended."""
+    """Time per stage and result of one request."""
 
     request_id: str
     route: str = ""
-    fate: Fate = Fate.FAILED
+    result: RequestResult = RequestResult.FAILED
     outcome: str = ""
     seconds_by_stage: dict[Stage, float] = field(default_factory=dict)
 
     @property
     def longest(self) -> Stage:
-        """Return the stage that took most."""
+        """Return the stage that took longest."""
         return max(Stage, key=lambda stage: self.seconds_by_stage.get(stage, 0.0))
 
 
 @dataclass(slots=True)
 class RouteLosses:
-    """What became of the requests of one route.
+    """Results of the requests of one route.
 
-    ``lost_by_stage`` counts the late and refused requests by the stage that
-    took most of their time, and ``seconds_by_stage`` are all their seconds.
+    ``lost_by_stage`` counts the requests that were not answered on time by
+    their longest stage, and ``seconds_by_stage`` sums up their times.
     """
 
     requests: int = 0
-    count_by_fate: Counter[Fate] = field(default_factory=Counter)
+    count_by_result: Counter[RequestResult] = field(default_factory=Counter)
     count_by_outcome: Counter[str] = field(default_factory=Counter)
     lost_by_stage: Counter[Stage] = field(default_factory=Counter)
     seconds_by_stage: defaultdict[Stage, float] = field(
@@ -79,16 +87,16 @@
 
 @dataclass(slots=True)
 class Losses:
-    """What the logs of some instances tell of a stretch of time.
+    """Results of requests and loads in the logs of some instances.
 
-    ``places_s`` and ``loads_s`` are, for each load that ended, how long it
-    waited for a place and how long the endpoint took; ``loads_by_endpoint``
-    and ``loads_by_weights`` count them.
+    For each load that ended, ``place_waits_s`` has how long it waited for a
+    free place at the endpoint and ``load_times_s`` how long the endpoint took.
+    ``loads_by_endpoint`` and ``loads_by_weights`` count loads.
     """
 
     routes_by_name: dict[str, RouteLosses] = field(default_factory=dict)
-    places_s: list[float] = field(default_factory=list)
-    loads_s: list[float] = field(default_factory=list)
+    place_waits_s: list[float] = field(default_factory=list)
+    load_times_s: list[float] = field(default_factory=list)
     loads_by_endpoint: Counter[str] = field(default_factory=Counter)
     loads_by_weights: Counter[str] = field(default_factory=Counter)
     refusals_by_detail: Counter[str] = field(default_factory=Counter)
@@ -96,7 +104,7 @@
 
 
 def read_losses(files: Iterable[tuple[str, Iterable[str]]]) -> Losses:
-    """Read the lines of some instances' logs.
+    """Compute the breakdown from log files, given as names and lines.
 
     >>> text = "event=request_ended request_id=a route=r waited_ms=900 "
     >>> text += "first_ms=950 target_ms=600 gap_ms=0 outcome=answered"
@@ -120,8 +128,8 @@
         case "load_waited":
             load_s_by_request[fields["request_id"]] += _read_s(fields, "waited_ms")
         case "load_ended":
-            losses.places_s.append(_read_s(fields, "place_ms"))
-            losses.loads_s.append(_read_s(fields, "took_ms"))
+            losses.place_waits_s.append(_read_s(fields, "place_ms"))
+            losses.load_times_s.append(_read_s(fields, "took_ms"))
             losses.loads_by_endpoint[fields["endpoint"]] += 1
             losses.loads_by_weights[fields["weights"]] += 1
         case "request_refused":
@@ -153,24 +161,24 @@
     }
     late = first_s > _read_s(fields, "target_ms") > 0
     late = late or times.seconds_by_stage[Stage.PAUSE] > 0
-    times.fate = _find_fate(times.outcome, late)
+    times.result = _classify_result(times.outcome, late)
     return times
 
 
-def _find_fate(outcome: str, late: bool) -> Fate:
+def _classify_result(outcome: str, late: bool) -> RequestResult:
     if outcome == ANSWERED:
-        return Fate.LATE if late else Fate.ON_TIME
+        return RequestResult.LATE if late else RequestResult.ON_TIME
     if outcome in REFUSALS:
-        return Fate.REFUSED
-    return Fate.GONE if outcome == LEFT_BY_CALLER else Fate.FAILED
+        return RequestResult.REFUSED
+    return RequestResult.GONE if outcome == CALLER_GONE else RequestResult.FAILED
 
 
 def _add_request(times: RequestTimes, losses: Losses) -> None:
     route = losses.routes_by_name.setdefault(times.route, RouteLosses())
     route.requests += 1
-    route.count_by_fate[times.fate] += 1
+    route.count_by_result[times.result] += 1
     route.count_by_outcome[times.outcome] += 1
-    if times.fate is Fate.ON_TIME:
+    if times.result is RequestResult.ON_TIME:
         return
     route.lost_by_stage[times.longest] += 1
     for stage, seconds in times.seconds_by_stage.items():
--- a/fescuekeel/helpers/losses_view.py
+++ b/fescuekeel/helpers/losses_view.py
@@ -1,22 +1,22 @@
-"""Show where requests lost their time: nested data for people, and a plot."""
+"""Present a latency breakdown as nested data and as a plot."""
 
 import importlib
 from collections import Counter
 from pathlib import Path
 from typing import Any
 
-from fescuekeel.helpers.losses import Fate, Losses, RouteLosses, Stage
+from fescuekeel.helpers.losses import Losses, RequestResult, RouteLosses, Stage
 
 __all__ = ["make_view", "plot_losses"]
 
 MS_PER_S = 1000.0
-# How many of the most frequent refusals, weights and endpoints are shown.
-SHOWN = 8
+# Bound on the refusals, weights and endpoints shown.
+MAX_ROWS = 8
 PLOT_INCHES = (9.0, 4.5)
 
 
 def make_view(losses: Losses) -> dict[str, Any]:
-    """Return what an operator reads: routes, refusals, loads.
+    """Return routes, refusals and loads as nested data.
 
     >>> make_view(Losses())["loads"]["ended"]
     0
@@ -26,17 +26,17 @@
             name: _view_route(route)
             for name, route in sorted(losses.routes_by_name.items())
         },
-        "refusals": _view_most(losses.refusals_by_detail),
+        "refusals": _view_most_common(losses.refusals_by_detail),
         "loads": {
-            "ended": len(losses.loads_s),
-            "place_ms_p50": _pick_ms(losses.places_s, 0.5),
-            "place_ms_p90": _pick_ms(losses.places_s, 0.9),
-            "took_ms_p50": _pick_ms(losses.loads_s, 0.5),
-            "took_ms_p90": _pick_ms(losses.loads_s, 0.9),
+            "ended": len(losses.load_times_s),
+            "place_ms_p50": _get_percentile_ms(losses.place_waits_s, 0.5),
+            "place_ms_p90": _get_percentile_ms(losses.place_waits_s, 0.9),
+            "took_ms_p50": _get_percentile_ms(losses.load_times_s, 0.5),
+            "took_ms_p90": _get_percentile_ms(losses.load_times_s, 0.9),
             "different_weights": len(losses.loads_by_weights),
         },
-        "loads_by_endpoint": _view_most(losses.loads_by_endpoint),
-        "loads_by_weights": _view_most(losses.loads_by_weights),
+        "loads_by_endpoint": _view_most_common(losses.loads_by_endpoint),
+        "loads_by_weights": _view_most_common(losses.loads_by_weights),
     }
     if losses.lines_dropped:
         view["lines_left_out"] = losses.lines_dropped
@@ -45,9 +45,9 @@
 
 def _view_route(route: RouteLosses) -> dict[str, Any]:
     shown: dict[str, Any] = {"requests": route.requests}
-    shown |= {fate.value: route.count_by_fate[fate] for fate in Fate}
+    shown |= {result.value: route.count_by_result[result] for result in RequestResult}
     shown |= {f"lost_in_{stage}": route.lost_by_stage[stage] for stage in Stage}
-    lost = max(1, route.requests - route.count_by_fate[Fate.ON_TIME])
+    lost = max(1, route.requests - route.count_by_result[RequestResult.ON_TIME])
     shown |= {
         f"{stage}_ms": round(route.seconds_by_stage[stage] / lost * MS_PER_S)
         for stage in Stage
@@ -55,12 +55,12 @@
     return shown
 
 
-def _view_most(counts: Counter[str]) -> dict[str, int]:
-    return dict(counts.most_common(SHOWN))
+def _view_most_common(counts: Counter[str]) -> dict[str, int]:
+    return dict(counts.most_common(MAX_ROWS))
 
 
-def _pick_ms(values: list[float], share: float) -> int:
-    """Return the value below which a share of all lies, in milliseconds."""
+def _get_percentile_ms(values: list[float], share: float) -> int:
+    """Return a percentile of values in seconds, in milliseconds."""
     if not values:
         return 0
     ordered = sorted(values)
@@ -68,9 +68,9 @@
 
 
 def plot_losses(losses: Losses, path: Path) -> None:
-    """Draw each route's lost requests by the stage that took most, as PNG.
+    """Plot each route's lost requests by their longest stage, as PNG.
 
-    Raises ``ImportError`` where matplotlib is not installed.
+    Raises ``ImportError`` if matplotlib is not installed.
     """
     pyplot = importlib.import_module("matplotlib.pyplot")
     pyplot.switch_backend("Agg")
@@ -81,7 +81,7 @@
         counts = [losses.routes_by_name[name].lost_by_stage[stage] for name in names]
         axes.barh(names, counts, left=left, label=stage.value)
         left = [done + count for done, count in zip(left, counts, strict=True)]
-    axes.set_xlabel("requests not answered on time, by the longest part of their time")
+    axes.set_xlabel("requests not answered on time, by their longest stage")
     axes.legend()
     figure.tight_layout()
     figure.savefig(path)
--- a/fescuekeel/helpers/owners.py
+++ b/fescuekeel/helpers/owners.py
@@ -9,11 +9,11 @@
 
 
 def choose_owner(endpoint: LiveEntry, members: Iterable[Member]) -> str | None:
-    """Return the owner's id, or ``None`` when there is no instance.
+    """Return the owner's id, or ``None`` if there is no instance.
 
-    It is an instance of the endpoint's own data centre; another data centre's
-    steps in only when none is left there, so that a cut between data centres
-    never makes two owners that both reach the endpoint.
+    Instances of the endpoint's data centre take precedence. An instance of
+    another one is chosen only if none is left there, so that a partition
+    between data centres never leads to two owners that reach the endpoint.
 
     >>> from fescuekeel.messages import LiveRole
     >>> entry = LiveEntry("e1", LiveRole.ENDPOINT, "", "dc1", 1)
--- a/fescuekeel/helpers/pages.py
+++ b/fescuekeel/helpers/pages.py
@@ -1,7 +1,6 @@
-"""A small HTTP server of pages that are made when somebody asks for them.
+"""Minimal HTTP server for probes and scrapers.
 
-What probes and scrapers ask for needs no more than a path and a text, and
-loading a web framework for it would make each start of a daemon longer.
+Avoids a web framework, which would increase the start-up time of a daemon.
 """
 
 import asyncio
@@ -22,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """One answer."""
+    """HTTP response."""
 
     body: bytes = b""
     status: HTTPStatus = HTTPStatus.OK
@@ -30,7 +29,7 @@
 
 
 class PageServer:
-    """Own a listening socket, and answer GET and HEAD with a page by path.
+    """Serve GET and HEAD requests with pages generated per path.
 
     Example::
 
@@ -41,21 +40,21 @@
     def __init__(self, pages_by_path: Mapping[str, Callable[[], Page]]) -> None:
         self.address = ""
         self._pages_by_path = pages_by_path
-        self._server = HTTPServer(self._answer)
+        self._server = HTTPServer(self._handle_request)
 
     def start(self, address: str) -> None:
-        """Listen; port 0 takes a free one, which ``address`` then shows."""
+        """Listen on an address; ``address`` has the actual port."""
         sockets, self.address = bind_address(address)
         self._server.add_sockets(sockets)
 
     async def stop(self) -> None:
-        """Close the socket and every connection."""
+        """Close the listening socket and all connections."""
         self._server.stop()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await self._server.close_all_connections()
 
-    def _find(self, request: HTTPServerRequest) -> Page:
+    def _make_page(self, request: HTTPServerRequest) -> Page:
         make = self._pages_by_path.get(request.path)
         if make is None:
             return Page(status=HTTPStatus.NOT_FOUND)
@@ -63,8 +62,8 @@
             return Page(status=HTTPStatus.METHOD_NOT_ALLOWED)
         return make()
 
-    def _answer(self, request: HTTPServerRequest) -> None:
-        page = self._find(request)
+    def _handle_request(self, request: HTTPServerRequest) -> None:
+        page = self._make_page(request)
         body = b"" if request.method == "HEAD" else page.body
         headers = HTTPHeaders(
             {"Content-Type": page.content_type, "Content-Length": str(len(page.body))}
--- a/fescuekeel/helpers/peer_link.py
+++ b/fescuekeel/helpers/peer_link.py
@@ -1,4 +1,4 @@
-"""What components ask of the connection to other instances."""
+"""Interface of the peers component to other components."""
 
 from collections.abc import Iterable, Mapping
 from typing import Protocol, cast
@@ -15,37 +15,37 @@
 
 
 class PeerLink(Protocol):
-    """Send typed messages to instances by id; one's own id works as well.
+    """Send typed messages to instances by id, including the local one.
 
-    Messages to one peer arrive in the order in which they were sent, as long
-    as the connection lasts. A message may be lost with its connection and is
-    never sent twice. ``heard_by_id`` is when the last message of a peer came,
-    in the instance's seconds, for the peers of the last minutes.
+    Messages to a peer arrive in order as long as the connection lasts. A
+    message may be lost with its connection and is never retransmitted.
+    ``heard_by_id`` is when the last message of each recent peer arrived, in
+    seconds of the instance's clock.
     """
 
     @property
     def heard_by_id(self) -> Mapping[str, float]:
-        """Return when each peer was last heard."""
+        """Return when the last message of each peer arrived."""
 
     def send(self, instance_id: str, body: WireMessage) -> bool:
-        """Queue a message; return false when the peer is not known."""
+        """Queue a message; return false if the peer is unknown."""
 
     def send_all(self, instance_ids: Iterable[str], body: WireMessage) -> None:
-        """Queue a message to several peers, but for those not known."""
+        """Queue a message to several peers; skip unknown ones."""
 
     async def ask(
         self, instance_id: str, body: WireMessage, timeout_s: float
     ) -> Result[WireMessage, Failure]:
-        """Send a question and wait for its answer.
+        """Send a request and wait for the reply.
 
-        Fails with ``peer_unreachable`` when no answer came in time; the peer
-        may have acted on the question all the same.
+        Fails with ``peer_unreachable`` if no reply arrives in time; the peer
+        may still have processed the request.
         """
 
     def answer(self, question: PeerMessage, body: WireMessage) -> None:
-        """Answer a peer's question."""
+        """Reply to a request of a peer."""
 
 
 def get_peer_link(instance: Instance) -> PeerLink:
-    """Return the link of an instance."""
+    """Return the peers component of an instance."""
     return cast(PeerLink, instance.components_by_domain[PEERS_DOMAIN])
--- a/fescuekeel/helpers/published.py
+++ b/fescuekeel/helpers/published.py
@@ -1,4 +1,4 @@
-"""What the platform publishes, in the product's own terms."""
+"""Data model of what the platform publishes."""
 
 import hashlib
 from dataclasses import dataclass, field
@@ -25,12 +25,12 @@
     "digest_key",
 ]
 
-# The version of an adapter that nobody has named a version of.
+# Version of an adapter for which no version is published.
 BASE_VERSION = 0
 
 
 class RouteKind(StrEnum):
-    """Say what may be repeated of a route's requests."""
+    """Whether and how a route's requests may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -38,7 +38,7 @@
 
 
 class Weights(NamedTuple):
-    """Name a model, or an adapter of a model.
+    """A model, or an adapter of a model.
 
     >>> str(Weights("m1", "a7")), str(Weights("m1"))
     ('m1/a7', 'm1')
@@ -48,13 +48,13 @@
     adapter: str = ""
 
     def __str__(self) -> str:
-        """Return the name as callers write it."""
+        """Return the name in the form that callers use."""
         return f"{self.model}/{self.adapter}" if self.adapter else self.model
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One of the services that share a route's requests, by weight."""
+    """Target service of a route, with its share of the requests."""
 
     service: str
     weight: float
@@ -62,13 +62,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One rule of the configuration: which requests go where, and how.
+    """Routing rule of the configuration.
 
-    ``timeout_s`` bounds the whole answer and ``target_s`` is the time to the
-    answer, or to its first piece, that callers hope for. Priority 0 is the
-    most urgent. ``max_attempts`` bounds the endpoints that may be handed one
-    request. ``gap_target_s`` is the longest pause within a stream. An
-    ``open`` route asks for no key.
+    ``timeout_s`` bounds the complete response. ``target_s`` is the latency
+    objective for the response, or for its first chunk, and ``gap_target_s``
+    the one for pauses within a stream. Priority 0 is the most urgent.
+    ``max_attempts`` bounds the endpoints to which one request may be sent. An
+    ``open`` route requires no key.
     """
 
     name: str
@@ -86,13 +86,13 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may be sent more than once."""
         return self.kind is RouteKind.SAFE or self.resumable
 
 
 @dataclass(frozen=True, slots=True)
 class ModelSpec:
-    """A base model; ``load_s`` is a load from the weight store."""
+    """Base model; ``load_s`` is the load time from the weight store."""
 
     name: str
     load_s: float
@@ -102,7 +102,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """What the endpoints of a model service can hold and run."""
+    """Capacity of the endpoints of a model service.
+
+    ``slots`` bounds the running requests and ``adapter_places`` the loaded
+    adapters.
+    """
 
     slots: int
     kv_tokens: int
@@ -113,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service; without an engine it is a plain one."""
+    """Service; without an engine it is a plain HTTP service."""
 
     name: str
     health_path: str
@@ -123,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, in bytes and seconds."""
+    """Limits on callers' requests and connections."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -132,23 +136,23 @@
 
 
 def digest_key(key: str) -> bytes:
-    """Return what stands for a caller's key wherever keys are compared.
+    """Return the digest by which a caller's key is stored and looked up.
 
-    A key itself is kept nowhere, so that no log, error or memory image of the
-    configuration shows one; and how long a look-up takes tells nothing of it.
+    Keys themselves are not stored, so that no log, error or memory dump of the
+    configuration contains one, and lookups leak nothing through timing.
     """
     return hashlib.sha256(key.encode()).digest()
 
 
 @dataclass(frozen=True, slots=True)
 class ClientAccount:
-    """A client account, whose requests bear one of its keys.
+    """Client account, identified by the key of a request.
 
-    ``priority`` goes before that of a route, ``None`` leaves the route's. Over
-    all instances the account may spend ``rate_per_s`` units a second, and
-    ``burst`` at once; a rate of zero is no limit. A unit is a request, or a
-    token if ``counts_tokens``: a request that tells no tokens counts as
-    ``plain_tokens`` then.
+    ``priority`` overrides that of the route unless it is ``None``. The rate
+    limit applies to all instances together: ``rate_per_s`` units per second
+    with bursts of ``burst``; a rate of zero means no limit. A unit is a
+    request, or a token with ``counts_tokens``; a request without a token count
+    then costs ``plain_tokens``.
     """
 
     name: str
@@ -159,7 +163,7 @@
     plain_tokens: int = 0
 
     def price(self, tokens: int | None) -> float:
-        """Return what a request takes from the account's limit, in units.
+        """Return the cost of a request in units of the rate limit.
 
         >>> ClientAccount("a").price(1540)
         1.0
@@ -173,10 +177,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of the operators' intent, always whole.
+    """One complete version of the operators' configuration.
 
-    ``accounts_by_digest`` has the account of each key by the key's digest;
-    ``None`` says that requests need no key at all.
+    ``accounts_by_digest`` maps the digest of each key to its account; ``None``
+    means that requests need no key.
     """
 
     version: int
@@ -188,10 +192,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """What an endpoint has published of itself, some time ago.
+    """State that an endpoint has published; it lags behind.
 
-    ``id`` is the text of an ``Incarnation``, new with each start of the
-    endpoint. ``held`` are the weights that it has with their versions.
+    ``id`` is the string of an ``Incarnation`` and changes with each start of
+    the endpoint. ``held`` has the versions of the loaded weights.
 
     >>> record = EndpointRecord("e1@1700", "s", "a:1", "dc1", 8, False)
     >>> record.name, record.born_ms
@@ -208,24 +212,24 @@
 
     @property
     def name(self) -> str:
-        """Return what an endpoint may keep when it starts again."""
+        """Return the name, which may stay the same across restarts."""
         return Incarnation.parse(self.id).name
 
     @property
     def born_ms(self) -> int:
-        """Return when it started; ``UNTOLD_BORN_MS`` if nothing tells."""
+        """Return the start time, ``UNTOLD_BORN_MS`` if not reported."""
         return Incarnation.parse(self.id).born_ms
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedItem:
-    """One published value by its key; ``value`` is ``None`` once it is gone.
+    """Key and value from the store; ``value`` is ``None`` after removal.
 
-    A value that could not be read at all is empty, so that it decodes to
-    nothing: it has still replaced the one before.
+    A value in an invalid encoding is empty: it fails to decode, but still
+    replaces the previous one.
 
-    ``revision`` grows with each change of anything published, so that of two
-    states of one key the one with the higher revision is the later one.
+    ``revision`` is the store's at the change: of two values of a key the one
+    with the higher revision is the later one.
     """
 
     key: str
@@ -235,11 +239,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalog:
-    """All that is published, as far as this instance knows.
+    """Everything published, as known to this instance.
 
-    ``endpoints_by_id`` leaves out endpoints that are leaving or gone.
-    ``versions_by_weights`` has the newest version that was named of an
-    adapter. ``revision`` is that of the last change seen.
+    ``endpoints_by_id`` excludes endpoints that are leaving or gone.
+    ``versions_by_weights`` has the newest published version of each adapter.
+    ``revision`` is that of the last change seen.
     """
 
     revision: int
--- a/fescuekeel/helpers/settings.py
+++ b/fescuekeel/helpers/settings.py
@@ -28,15 +28,15 @@
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
 
-SHORTEST_KEY = 16
+MIN_KEY_LENGTH = 16
 
 
 class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Validate one section; unknown keys are errors."""
+    """Base of all sections; unknown keys are errors."""
 
 
 class InstanceSettings(Section, frozen=True):
-    """Name this instance and say where it is."""
+    """Identity and location of this instance."""
 
     id: Name
     data_centre: Name
@@ -44,7 +44,7 @@
 
 
 class CallersSettings(Section, frozen=True):
-    """Where callers connect."""
+    """Listener for callers."""
 
     address: str
     tls_certificate: str = ""
@@ -52,20 +52,20 @@
 
 
 class OperatorsSettings(Section, frozen=True):
-    """Where operators connect, and the SHA-256 of their token in hex."""
+    """Listener for operators, and the SHA-256 of their token in hex."""
 
     address: str
     token_sha256: Digest
 
 
 class PeersSettings(Section, frozen=True, kw_only=True):
-    """Where other instances connect, and the keys that they share.
+    """Listener for other instances, and the shared keys.
 
-    ``keys`` holds one or two secrets separated by commas: the first signs,
-    each is accepted, so that a key can be changed without a stop. ``seeds``
-    are addresses used until the live list can be read. ``advertised_address``
-    is what other instances are told to connect to, where it differs from the
-    address that is bound, such as behind address translation.
+    ``keys`` has one or two secrets separated by commas: the first one signs,
+    and both are accepted, so that keys can be rotated without downtime.
+    ``seeds`` are addresses used until the live list can be read.
+    ``advertised_address`` is the address for other instances if it differs
+    from the one that is bound, such as behind NAT.
     """
 
     address: str
@@ -77,21 +77,23 @@
     tls_ca: str = ""
 
     def __post_init__(self) -> None:
-        """Ask for one or two keys of 16 characters or more."""
+        """Validate the number and the length of the keys."""
         if not 1 <= len(self.keys) <= 2:
-            raise ValueError("keys: one or two keys are needed")
-        if any(len(key) < SHORTEST_KEY for key in self.keys):
-            raise ValueError(f"keys: a key has {SHORTEST_KEY} characters or more")
+            raise ValueError("keys: expected one or two keys")
+        if any(len(key) < MIN_KEY_LENGTH for key in self.keys):
+            raise ValueError(
+                f"keys: each key needs at least {MIN_KEY_LENGTH} characters"
+            )
 
 
 class PlatformSettings(Section, frozen=True):
-    """Where the platform's services are.
+    """Location and kind of the platform's services.
 
-    Either the two URLs are given, and the instance serves completions from
-    the published tree; or ``dialect`` names the dialect that the platform
-    speaks, and the instance forwards what its catalog says. ``dialect_path``
-    is a folder and ``dialect_module`` a package in it that registers the
-    dialect. ``store`` is the address of the platform's store.
+    With the two URLs the instance serves completions from the published tree.
+    With ``dialect``, the name of a registered dialect, it forwards requests by
+    the catalog in the platform's store. ``dialect_module`` is a package in the
+    folder ``dialect_path`` that registers the dialect, and ``store`` is the
+    store's address.
     """
 
     config_url: str = ""
@@ -102,28 +104,29 @@
     store: str = ""
 
     def __post_init__(self) -> None:
-        """Ask for the URLs or for a dialect, and not for both."""
+        """Require either the URLs or a dialect."""
         urls = bool(self.config_url and self.live_url)
         spoken = bool(self.dialect and self.dialect_module and self.store)
         if urls == spoken:
             raise ValueError(
-                "either config_url and live_url are needed,"
+                "expected either config_url and live_url,"
                 " or dialect, dialect_module and store"
             )
 
 
 class ForwardingSettings(Section, frozen=True):
-    """The bounds that the platform sets for forwarding.
-
-    ``lease_s`` is how long two holders of orders to one endpoint keep apart;
-    ``fenced`` says that endpoints refuse the orders of an earlier holder. The
-    retry budget is shared by all instances: ``retry_ratio`` of the requests in
-    ``retry_window_s``, and ``retry_slack`` more. A configuration has to be in
-    force within ``change_bound_s`` after it was published, and an endpoint
-    gets nothing more from ``leaving_bound_s`` on after it said that it leaves.
-    A key that was taken away serves nowhere from ``revoked_bound_s`` on, on
-    instances that hear nothing either; zero sets no such bound. What a client
-    account may spend is counted over any window of ``limit_window_s``.
+    """Bounds and limits for forwarding.
+
+    ``lease_s`` is the minimum time between the last order of one holder of an
+    endpoint and the first order of the next; ``fenced`` says that endpoints
+    refuse orders of earlier holders. The retry budget is shared by all
+    instances: ``retry_ratio`` of the requests in ``retry_window_s``, plus
+    ``retry_slack``. A configuration must be in force within ``change_bound_s``
+    of its publication. An endpoint receives no requests later than
+    ``leaving_bound_s`` after it announced that it is leaving. A revoked key is
+    rejected after ``revoked_bound_s``, even by instances that are partitioned;
+    zero sets no such bound. ``limit_window_s`` is the window of the client
+    accounts' rate limits.
     """
 
     ready_address: str = ""
@@ -140,7 +143,7 @@
 
 
 class Settings(Section, frozen=True):
-    """All settings of one daemon, a field for each section."""
+    """All settings of one daemon, with a field per section."""
 
     instance: InstanceSettings
     callers: CallersSettings
@@ -151,9 +154,9 @@
 
     @property
     def interface(self) -> str:
-        """Return which interface the instance serves.
+        """Return the interface that the instance serves.
 
-        It is ``forwarding`` or ``completions``, the words of the manifests.
+        It is ``forwarding`` or ``completions``, as in the manifests.
         """
         return "forwarding" if self.platform.dialect else "completions"
 
@@ -183,33 +186,33 @@
     read: dict[str, Section] = {}
     for name, texts in sections.items():
         if name not in types_by_name:
-            raise ValueError(f"{name}: no such section")
+            raise ValueError(f"{name}: unknown section")
         read[name] = _read_section(name, texts, types_by_name[name])
     for item in known:
         if item.required and item.name not in read:
-            raise ValueError(f"{item.name}: the section is missing")
+            raise ValueError(f"{item.name}: missing section")
     return Settings(**read)  # type: ignore[arg-type]
 
 
 def _read_section(name: str, texts: dict[str, str], kind: type[Section]) -> Section:
-    """Read one section, whose values are all texts in INI."""
+    """Convert one section from its INI strings."""
     fields_by_key = {item.name: item for item in msgspec.structs.fields(kind)}
     for key, item in fields_by_key.items():
         if item.required and key not in texts:
-            raise ValueError(f"{name}.{key}: the key is missing")
+            raise ValueError(f"{name}.{key}: missing key")
     values = {}
     for key, text in texts.items():
         if key not in fields_by_key:
-            raise ValueError(f"{name}.{key}: no such key")
+            raise ValueError(f"{name}.{key}: unknown key")
         values[key] = _read_text(text, fields_by_key[key].type)
     try:
         return msgspec.convert(values, kind, strict=False)
     except msgspec.ValidationError as error:
-        raise ValueError(_name_place(name, str(error))) from error
+        raise ValueError(_prefix_error(name, str(error))) from error
 
 
 def _read_text(text: str, kind: Any) -> object:
-    """Return what INI can't say by itself: a list, or yes and no."""
+    """Convert lists and booleans, which INI has no types for."""
     if kind is bool:
         return configparser.ConfigParser.BOOLEAN_STATES.get(text.lower(), text)
     if get_origin(kind) is tuple:
@@ -217,10 +220,10 @@
     return text
 
 
-def _name_place(section: str, error: str) -> str:
-    """Put section and key before what msgspec says.
+def _prefix_error(section: str, error: str) -> str:
+    """Prefix an error of msgspec with section and key.
 
-    >>> _name_place("peers", "Expected `float`, got `str` - at `$.lease_s`")
+    >>> _prefix_error("peers", "Expected `float`, got `str` - at `$.lease_s`")
     'peers.lease_s: Expected `float`, got `str`'
     """
     message, _, path = error.partition(" - at `$")
--- a/fescuekeel/helpers/table.py
+++ b/fescuekeel/helpers/table.py
@@ -1,4 +1,4 @@
-"""Plain text for people out of nested data."""
+"""Format nested data as plain text."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 def format_view(view: dict[str, Any], depth: int = 0) -> str:
-    """Return indented lines, a key each.
+    """Return indented lines, one per key.
 
     >>> print(format_view({"tree": {"revision": 7}, "none": []}), end="")
     tree:
@@ -33,7 +33,7 @@
 
 
 def _format_inline(row: dict[str, Any]) -> str:
-    """Return a flat row as ``key=value`` pairs, or nothing if it is nested."""
+    """Return a flat row as ``key=value`` pairs, empty if it is nested."""
     if any(isinstance(value, dict | list) and value for value in row.values()):
         return ""
     return " ".join(f"{key}={_format_value(value)}" for key, value in row.items())
--- a/fescuekeel/helpers/trace.py
+++ b/fescuekeel/helpers/trace.py
@@ -1,4 +1,4 @@
-"""Find the lines of one request in several instances' logs, and its cause."""
+"""Find one request in the logs of several instances, and why it ended."""
 
 import re
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 __all__ = ["LogLine", "Trace", "gather", "parse_line"]
 
 PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
-# Events that change what was believed of an endpoint or of the whole.
+# Events that change the view of an endpoint or of the system.
 CONTEXT_EVENTS = frozenset(
     {
         "claim_held",
@@ -21,30 +21,30 @@
         "order_given",
     }
 )
-# How many context lines of one file and endpoint are shown, the last ones.
-MAX_CONTEXT = 6
+# The last context lines per file and endpoint are shown.
+MAX_CONTEXT_LINES = 6
 
 CAUSES = {
     "answered": "it was answered",
-    "bad_request": "its head could not be read; see detail",
-    "caller_gone": "its caller closed the connection before the answer was whole",
+    "bad_request": "its headers could not be parsed; see detail",
+    "caller_gone": "its caller closed the connection before the response was complete",
     "draining": "its instance was shutting down; it did not run",
-    "endpoint_refused": "each endpoint that it may go to said it did not run it",
-    "expired": "its time was over at an endpoint; it may have run",
+    "endpoint_refused": "each permitted endpoint replied that it did not run it",
+    "expired": "its deadline passed at an endpoint; it may have run",
     "load_failed": "its adapter could not be loaded in time; see load_asked",
     "no_endpoint": "no endpoint of its service was left to try",
-    "outcome_unknown": "it was sent, and no whole answer came; it may have run",
-    "answer_cut": "its answer broke off midway; see answer_broken",
-    "queue_full": "too many prompts waited at the engines that hold its adapter",
-    "too_late": "its time was over before it was sent anywhere",
-    "tree_not_ready": "its instance knew no configuration yet",
-    "unknown_service": "no route of the configuration in force allows it",
+    "outcome_unknown": "it was sent, but the response was incomplete; it may have run",
+    "answer_cut": "its response broke off; see answer_broken",
+    "queue_full": "too many prompts were queued at the engines that hold its adapter",
+    "too_late": "its deadline passed before it was sent",
+    "tree_not_ready": "its instance had no configuration yet",
+    "unknown_service": "no route of the configuration in force matches it",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a log file and its fields."""
+    """Line of a log file and its fields."""
 
     file: str
     number: int
@@ -53,13 +53,13 @@
 
     @property
     def event(self) -> str:
-        """Return the event's name."""
+        """Return the name of the event."""
         return self.fields.get("event", "")
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """What the logs tell of one request."""
+    """Log lines of a request, related lines, and why it ended."""
 
     own: list[LogLine]
     context: list[LogLine]
@@ -67,7 +67,7 @@
 
 
 def parse_line(file: str, number: int, text: str) -> LogLine:
-    """Read the pairs of a line.
+    """Parse the ``key=value`` pairs of a line.
 
     >>> parse_line("a", 1, 'event=x detail="two words"').fields["detail"]
     'two words'
@@ -83,11 +83,10 @@
 
 
 def gather(request_id: str, files: Iterable[tuple[str, Iterable[str]]]) -> Trace:
-    """Return the request's own lines, those around them, and the cause.
+    """Return the request's lines, related lines, and the cause of its end.
 
-    The request's lines come in the order in which its entry wrote them. Lines
-    of other instances follow a file at a time and are not sorted by time,
-    since their clocks may disagree by seconds.
+    Lines keep the order of their files. They are not sorted by time, since the
+    clocks of instances may differ by seconds.
     """
     lines = [
         parse_line(name, number, text)
@@ -112,12 +111,14 @@
         concerns = not endpoint or endpoint in endpoints
         if concerns and (about is None or about in weights):
             kept.setdefault((line.file, endpoint), []).append(line)
-    return [line for group in kept.values() for line in group[-MAX_CONTEXT:]]
+    return [line for group in kept.values() for line in group[-MAX_CONTEXT_LINES:]]
 
 
 def _find_cause(own: list[LogLine]) -> str:
     if not own:
-        return "no line of it: it never reached these instances, or was left out"
+        return (
+            "no log line: it never reached these instances, or its lines were dropped"
+        )
     for line in reversed(own):
         outcome = line.fields.get("kind") or line.fields.get("outcome", "")
         if line.event in ("request_refused", "request_ended") and outcome in CAUSES:
--- a/fescuekeel/helpers/wire.py
+++ b/fescuekeel/helpers/wire.py
@@ -1,4 +1,4 @@
-"""Codec between typed messages and pycapnp frames."""
+"""Codec between typed messages and Cap'n Proto frames."""
 
 import dataclasses
 import types
@@ -29,17 +29,16 @@
 # The traversal limit counts words read, and text is read once.
 TRAVERSAL_LIMIT_WORDS = MAX_FRAME_BYTES
 
-# Frames from this length on are compressed: news of a hundred members shrinks
-# from 12 KB to 2, for 0.1 ms of processor. Short ones would gain a few bytes.
-PACKED_BYTES = 1024
-# The first byte of what zlib writes; a frame of pycapnp begins with the number
-# of its segments, which is less.
-PACKED_MARK = b"\x78"
+# Shorter frames gain too little from compression.
+MIN_COMPRESSED_BYTES = 1024
+# First byte of a zlib stream. An uncompressed frame begins with its number of
+# segments, which is always lower.
+ZLIB_MAGIC = b"\x78"
 
-PLAIN_TYPES = frozenset({bool, bytes, float, int, str})
+SCALAR_TYPES = frozenset({bool, bytes, float, int, str})
 
-Convert = Callable[[Any], Any]
-Fill = Callable[[Any, Any], None]
+Decoder = Callable[[Any], Any]
+Encoder = Callable[[Any, Any], None]
 
 
 def _to_camel(name: str) -> str:
@@ -47,71 +46,70 @@
     return head + "".join(part.title() for part in rest)
 
 
-def _to_variant(kind: type) -> str:
+def _to_variant_name(kind: type) -> str:
     return kind.__name__[0].lower() + kind.__name__[1:]
 
 
 KINDS_BY_VARIANT: dict[str, type] = {
-    _to_variant(kind): kind for kind in typing.get_args(messages.WireMessage)
+    _to_variant_name(kind): kind for kind in typing.get_args(messages.WireMessage)
 }
 VARIANTS_BY_KIND = {kind: variant for variant, kind in KINDS_BY_VARIANT.items()}
 
 
 @cache
-def _make_fill(kind: type) -> Fill:
+def _make_encoder(kind: type) -> Encoder:
     """Return a function that sets a builder's fields from a message.
 
-    Fields are set one by one, since a builder made from nested dicts costs
-    several times as much. Zero and empty values are the schema's defaults and
-    are left out.
+    Setting fields one by one is several times faster than a builder made from
+    nested dicts. Zero and empty values are the schema's defaults and are
+    omitted.
     """
-    plain: list[tuple[str, str]] = []
-    nested: list[tuple[str, str, Fill]] = []
-    lists: list[tuple[str, str, Fill]] = []
+    direct: list[tuple[str, str]] = []
+    nested: list[tuple[str, str, Encoder]] = []
+    lists: list[tuple[str, str, Encoder]] = []
     for name, wire_name, hint in _list_fields(kind):
         if isinstance(hint, types.GenericAlias):
             part = typing.get_args(hint)[0]
-            if part in PLAIN_TYPES:
-                plain.append((name, wire_name))
+            if part in SCALAR_TYPES:
+                direct.append((name, wire_name))
             else:
-                lists.append((name, wire_name, _make_fill(part)))
+                lists.append((name, wire_name, _make_encoder(part)))
         elif dataclasses.is_dataclass(hint):
-            nested.append((name, wire_name, _make_fill(typing.cast(type, hint))))
+            nested.append((name, wire_name, _make_encoder(typing.cast(type, hint))))
         else:
-            plain.append((name, wire_name))
+            direct.append((name, wire_name))
 
-    def fill(builder: Any, message: Any) -> None:
-        for name, wire_name in plain:
+    def encode_message(builder: Any, message: Any) -> None:
+        for name, wire_name in direct:
             value = getattr(message, name)
             if value:
                 setattr(builder, wire_name, value)
-        for name, wire_name, fill_part in nested:
-            fill_part(builder.init(wire_name), getattr(message, name))
-        for name, wire_name, fill_part in lists:
+        for name, wire_name, encode_part in nested:
+            encode_part(builder.init(wire_name), getattr(message, name))
+        for name, wire_name, encode_part in lists:
             values = getattr(message, name)
             if not values:
                 continue
             builders = builder.init(wire_name, len(values))
             for index, value in enumerate(values):
-                fill_part(builders[index], value)
+                encode_part(builders[index], value)
 
-    return fill
+    return encode_message
 
 
 @cache
-def _make_unpack(kind: type) -> Convert:
-    """Return a function that makes a message from a reader.
+def _make_decoder(kind: type) -> Decoder:
+    """Return a function that builds a message from a reader.
 
-    pycapnp looks a field up by its name at each access; by the field object
-    it is four times as fast.
+    Reading by field object avoids pycapnp's lookup by name at each access.
     """
     wire_fields = getattr(SCHEMA, kind.__name__).schema.fields
     fields = tuple(
-        (wire_fields[wire_name], _make_converter(hint))
+        (wire_fields[wire_name], _make_field_decoder(hint))
         for _, wire_name, hint in _list_fields(kind)
     )
 
-    def unpack(reader: Any) -> Any:
+    def decode_message(reader: Any) -> Any:
         read = reader._get_by_field
         values = []
         for wire_field, convert in fields:
@@ -119,7 +117,7 @@
             values.append(value if convert is None else convert(value))
         return kind(*values)
 
-    return unpack
+    return decode_message
 
 
 def _list_fields(kind: type) -> list[tuple[str, str, Any]]:
@@ -130,22 +128,22 @@
     ]
 
 
-def _make_converter(hint: Any) -> Convert | None:
+def _make_field_decoder(hint: Any) -> Decoder | None:
     if isinstance(hint, types.GenericAlias):
         part = typing.get_args(hint)[0]
-        if part in PLAIN_TYPES:
+        if part in SCALAR_TYPES:
             return tuple
-        unpack = _make_unpack(part)
-        return lambda values: tuple(unpack(value) for value in values)
+        decode_message = _make_decoder(part)
+        return lambda values: tuple(decode_message(value) for value in values)
     if dataclasses.is_dataclass(hint):
-        return _make_unpack(typing.cast(type, hint))
-    if hint in PLAIN_TYPES:
+        return _make_decoder(typing.cast(type, hint))
+    if hint in SCALAR_TYPES:
         return None
-    return typing.cast(Convert, hint)
+    return typing.cast(Decoder, hint)
 
 
 def encode(envelope: messages.Envelope) -> bytes:
-    """Return the frame of a message.
+    """Encode a message as a frame.
 
     >>> ping = messages.Envelope(7, 0, messages.Ping())
     >>> decode(encode(ping)).unwrap() == ping
@@ -155,32 +153,32 @@
     frame.number = envelope.number
     frame.answers = envelope.answers
     kind: type = type(envelope.body)
-    _make_fill(kind)(frame.body.init(VARIANTS_BY_KIND[kind]), envelope.body)
+    _make_encoder(kind)(frame.body.init(VARIANTS_BY_KIND[kind]), envelope.body)
     payload: bytes = frame.to_bytes()
-    if len(payload) < PACKED_BYTES:
+    if len(payload) < MIN_COMPRESSED_BYTES:
         return payload
     return zlib.compress(payload, level=1)
 
 
-def _unpack_payload(frame: bytes) -> bytes:
+def _decompress_payload(frame: bytes) -> bytes:
     """Return the payload of a frame, which may be compressed.
 
-    Guards against a small frame that would unpack to more than any may hold.
+    The decompressed size is bounded, to reject decompression bombs.
     """
-    if not frame.startswith(PACKED_MARK):
+    if not frame.startswith(ZLIB_MAGIC):
         return frame
     unpacker = zlib.decompressobj()
     payload = unpacker.decompress(frame, MAX_FRAME_BYTES)
     if not unpacker.eof:
-        raise ValueError("a compressed frame that is cut, or too long")
+        raise ValueError("compressed frame is truncated or too long")
     return payload
 
 
 def decode(frame: bytes) -> Result[messages.Envelope, Failure]:
-    """Parse a frame; whatever is wrong with it becomes ``bad_frame``.
+    """Decode a frame; any error is returned as ``bad_frame``.
 
-    pycapnp raises its own exceptions, and more than one kind of them, on a
-    malformed frame or a missing field, so that all are caught here.
+    All exceptions are caught, since pycapnp raises several unrelated types for
+    malformed frames and missing fields.
 
     >>> decode(b"nonsense").failure().kind.value
     'bad_frame'
@@ -189,14 +187,14 @@
         return Err(Failure(ErrorKind.BAD_FRAME, f"{len(frame)} bytes"))
     try:
         with SCHEMA.Envelope.from_bytes(
-            _unpack_payload(frame),
+            _decompress_payload(frame),
             traversal_limit_in_words=TRAVERSAL_LIMIT_WORDS,
             nesting_limit=NESTING_LIMIT,
         ) as reader:
             union = reader._get_by_field(BODY_FIELD)
             variant = union._which_str()
-            unpack = _make_unpack(KINDS_BY_VARIANT[variant])
-            body = unpack(union._get_by_field(VARIANT_FIELDS[variant]))
+            decode_message = _make_decoder(KINDS_BY_VARIANT[variant])
+            body = decode_message(union._get_by_field(VARIANT_FIELDS[variant]))
             number = reader._get_by_field(NUMBER_FIELD)
             answers = reader._get_by_field(ANSWERS_FIELD)
             return Success(messages.Envelope(number, answers, body))
--- a/fescuekeel/messages/fleet.py
+++ b/fescuekeel/messages/fleet.py
@@ -1,4 +1,4 @@
-"""Messages by which instances know each other and what is alive.
+"""Messages of the handshake, gossip and failure detection.
 
 Each class has a struct of the same name in ``schema/peer.capnp``.
 """
@@ -19,7 +19,7 @@
 
 
 class NewsKind(StrEnum):
-    """Name what a piece of gossip tells."""
+    """Kind of a gossip item."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """Tell one fact about an instance, an endpoint or the tree.
+    """Gossip item about an instance, an endpoint, the tree or the members.
 
     ``subject`` is an instance id, an endpoint id or a digest, and
-    ``incarnation`` orders what is told of the same subject. For the tree it
-    is the revision, for a digest of the members how many they are.
+    ``incarnation`` orders items of the same subject. For the tree it is the
+    revision, for a digest of the members their number.
     """
 
     kind: NewsKind
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Open a connection: who speaks, and with which protocol version."""
+    """First message on a connection: sender and protocol version."""
 
     version: int
     instance: str
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HelloAnswer:
-    """Answer a hello."""
+    """Reply to a hello."""
 
     instance: str
     incarnation: int
@@ -69,21 +69,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Ask a peer for a sign of life and pass on news."""
+    """Probe a peer directly, with gossip piggybacked."""
 
     news: tuple[News, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class PingAnswer:
-    """Answer a ping, with news in return."""
+    """Reply to a ping, with gossip piggybacked."""
 
     news: tuple[News, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeAsk:
-    """Ask a peer to ping a third instance."""
+    """Ask a peer to ping another instance (indirect probe)."""
 
     target: str
     address: str
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswer:
-    """Tell whether the third instance answered."""
+    """Report whether the other instance replied."""
 
     target: str
     alive: bool
--- a/fescuekeel/messages/forwarding.py
+++ b/fescuekeel/messages/forwarding.py
@@ -1,7 +1,8 @@
 """Messages between instances that forward requests.
 
 Each class has a struct of the same name in ``schema/peer.capnp``. Times are
-relative and in milliseconds.
+relative and in milliseconds. The holder of an endpoint is the instance that
+may order it to load and unload weights.
 """
 
 from dataclasses import dataclass
@@ -28,9 +29,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CatalogItem:
-    """One published value; ``gone`` says that the key was removed.
+    """Published value; ``gone`` says that the key was removed.
 
-    With ``packed`` the value is compressed, by zlib.
+    With ``packed`` the value is compressed with zlib.
     """
 
     key: str
@@ -42,11 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CatalogNews:
-    """Tell up to which revision the sender knows what is published.
+    """Announce the revision of the sender's catalog.
 
-    ``watching`` says that it has this from the store, which answers it.
-    ``age_ms`` is how long ago the store is known to have had nothing newer: a
-    hint whom to ask, as news may be held up on its way.
+    ``watching`` says that the sender reads the store itself and the store
+    responds. ``age_ms`` is how long ago the store is known to have had nothing
+    newer. It only helps to choose a peer to fetch from, since the message may
+    be delayed.
     """
 
     revision: int
@@ -56,19 +58,19 @@
 
 @dataclass(frozen=True, slots=True)
 class CatalogAsk:
-    """Ask for what has changed after a revision."""
+    """Ask for the changes after a revision."""
 
     since: int
 
 
 @dataclass(frozen=True, slots=True)
 class CatalogPart:
-    """Answer with all changes after the revision asked for.
+    """All changes after the requested revision.
 
-    ``whole`` says that the items are all that is published: the sender does
-    not know what was removed since the revision asked for. What was removed
-    up to ``lapsed_until`` may have lapsed while the store was away.
-    ``age_ms`` is how long before the answer the store is known to have had
+    ``whole`` says that the items are a full snapshot, because the sender does
+    not know what was removed since that revision. Keys removed up to
+    ``lapsed_until`` may have expired because the store was unavailable.
+    ``age_ms`` is how long before this reply the store is known to have had
     nothing newer.
     """
 
@@ -81,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldWeights:
-    """Weights that an endpoint holds and can serve now."""
+    """Weights that are loaded at an endpoint."""
 
     model: str
     adapter: str
@@ -90,16 +92,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementState:
-    """Tell what the holder of an endpoint's orders knows of it.
+    """State of an endpoint as its holder knows it.
 
-    ``term`` orders the claims of holders. ``released`` gives the claim up,
-    and ``quiet_ms`` is how long ago the holder last gave an order.
-    ``pending_tokens`` are prompt tokens that requests of all instances still
-    wait for to be read there.
+    ``term`` orders the claims of holders. ``released`` gives up the claim, and
+    ``quiet_ms`` is the time since the holder's last order. ``pending_tokens``
+    are the prompt tokens of all instances that are not yet prefilled there.
 
-    The list of what is held has a ``number``. With ``based_on`` 0 it is whole;
-    else ``held`` and ``dropped`` are what differs from the list with that
-    number, nothing where both numbers are the same.
+    ``number`` is the version of the list of loaded weights. With ``based_on``
+    0 the list is complete; otherwise ``held`` and ``dropped`` are the
+    differences from that version, empty if both versions are the same.
     """
 
     endpoint: str
@@ -116,17 +117,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementNews:
-    """Tell the state of each endpoint whose orders the sender holds."""
+    """Placement update: the state of each endpoint the sender holds."""
 
     states: tuple[PlacementState, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class WeightUse:
-    """How one instance uses weights at an endpoint.
+    """Use of weights at an endpoint by one instance.
 
-    ``running`` are its requests under way and ``begun`` those that began
-    since its last news.
+    ``running`` is the number of its requests in progress, and ``begun`` the
+    number of those that have started since its last report.
     """
 
     model: str
@@ -137,11 +138,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUse:
-    """How one instance uses an endpoint.
+    """Use of an endpoint by one instance.
 
-    ``tokens_per_s`` is how fast the endpoint has read prompts since the last
-    news, zero if nothing shows it. ``pause_percent`` is the longest pause in a
-    stream since then, of the pause that its route allows.
+    ``tokens_per_s`` is the observed prefill rate since the last report, zero
+    if unknown. ``pause_percent`` is the longest pause in a stream since then,
+    in percent of the pause that its route allows.
     """
 
     endpoint: str
@@ -153,21 +154,22 @@
 
 @dataclass(frozen=True, slots=True)
 class UseNews:
-    """Tell the holder of endpoints' orders how the sender uses them."""
+    """Usage report to the holder of endpoints."""
 
     endpoints: tuple[EndpointUse, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class LoadAsk:
-    """Ask the holder of an endpoint's orders to have weights loaded there.
-
-    ``version`` is the version that is needed, 0 for any. ``spread`` asks for
-    one more copy, which nobody waits for. ``on_time_ms`` is how long the load
-    may take for an answer within its target, and ``patience_ms`` how long
-    anybody waits for it. Without ``patient`` the answer comes at once where no
-    place is free, or the engine is crowded, so that the load can be asked for
-    elsewhere. ``tokens`` are those of the prompt that waits for it.
+    """Ask the holder of an endpoint to have weights loaded there.
+
+    ``version`` is the required version, 0 for any. ``spread`` asks for an
+    additional replica, for which no request waits. ``on_time_ms`` is how long
+    the load may take for the request to meet its latency objective, and
+    ``patience_ms`` how long the request waits at most. Without ``patient`` the
+    reply is immediate if no place is free or the engine is overloaded, so that
+    another endpoint can be tried. ``tokens`` is the size of the waiting
+    prompt.
     """
 
     endpoint: str
@@ -184,10 +186,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadAnswer:
-    """Answer once the weights are held, or cannot be had now.
+    """Reply once the weights are loaded, or cannot be loaded now.
 
-    ``version`` is the one that is held then. Whoever does not hold the
-    endpoint's orders names its ``holder``, if it knows one.
+    ``version`` is the loaded one. An instance that is not the endpoint's
+    holder redirects to ``holder``, if it knows it.
     """
 
     loaded: bool
@@ -198,13 +200,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmitAsk:
-    """Ask the holder of an engine's orders when a prompt may be sent there.
+    """Ask the holder of an endpoint for admission of a prompt.
 
-    ``on_time_ms`` is how long its turn may take for an answer within its
-    target, and ``patience_ms`` how long waiting makes sense at all.
-    ``version`` is the oldest one of the weights that may serve it. Without
-    ``patient`` the answer comes at once where the engine is crowded, so that
-    the prompt can go elsewhere.
+    ``on_time_ms`` is how long the prompt may be queued for the request to meet
+    its latency objective, and ``patience_ms`` how long it waits at most.
+    ``version`` is the minimum version of the weights. Without ``patient`` the
+    reply is immediate if the engine is overloaded, so that another endpoint
+    can be tried.
     """
 
     endpoint: str
@@ -220,13 +222,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmitAnswer:
-    """Answer when the prompt may be sent, or that it may not.
+    """Reply once a prompt is admitted or rejected.
 
-    ``pending_tokens`` are the prompt tokens that wait there now, or are being
-    read, ``running`` the requests that run there, and ``wait_ms`` how long all
-    that waits will take. ``version`` is that of the weights which are held
-    then. ``reason`` says why a prompt may not be sent. Whoever does not hold
-    the endpoint's orders names its ``holder``, if it knows one.
+    ``pending_tokens`` are the prompt tokens that are queued there or being
+    prefilled, ``running`` is the number of running requests, and ``wait_ms``
+    the estimated time to work off the queue. ``version`` is that of the loaded
+    weights. ``reason`` says why a prompt is rejected. An instance that is not
+    the endpoint's holder redirects to ``holder``, if it knows it.
     """
 
     granted: bool
@@ -240,10 +242,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AllowanceAsk:
-    """Ask an account's home for a part of the account's limit.
+    """Ask an account's home instance for a share of its rate limit.
 
-    ``needed`` is what a request that waits takes, in units of the limit. A
-    ``deputy`` is asked while the home does not answer.
+    ``needed`` is the cost of the waiting request in units of the limit.
+    ``deputy`` says that the receiver stands in for an unresponsive home.
     """
 
     account: str
@@ -253,7 +255,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AllowanceAnswer:
-    """Grant units; with none, ``wait_ms`` is when there is room again."""
+    """Grant units; without any, ``wait_ms`` says when to ask again."""
 
     units: float
     wait_ms: int = 0
--- a/fescuekeel/messages/keys.py
+++ b/fescuekeel/messages/keys.py
@@ -1,4 +1,4 @@
-"""Messages that claim idempotency keys at their homes.
+"""Messages that claim idempotency keys at their home instances.
 
 Each class has a struct of the same name in ``schema/peer.capnp``.
 """
@@ -20,9 +20,9 @@
 class KeyClaim:
     """Claim an idempotency key for one request before it may run.
 
-    ``digest`` is that of the request's meaning, and ``lifetime_ms`` how long
-    the claim is kept after it is settled. ``homes`` are the key's homes as
-    the claiming instance sees them; a home that sees others refuses.
+    ``digest`` is that of the request's content, and ``lifetime_ms`` how long
+    the claim is kept after it is settled. ``homes`` are the key's homes in the
+    view of the sender; a home whose view differs rejects the claim.
     """
 
     key: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyAnswer:
-    """Grant a claim, or tell the error kind that the caller gets."""
+    """Grant a claim, or return the error kind for the caller."""
 
     granted: bool
     kind: str = ""
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeySettle:
-    """Settle a claim: released if the request did not run, else used."""
+    """Settle a claim: release it if the request did not run."""
 
     key: str
     request_id: str
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRecord:
-    """One claim as a home holds it; ``used`` is false while it runs."""
+    """Claim stored at a home; ``used`` is false while the request runs."""
 
     key: str
     request_id: str
@@ -63,10 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyPull:
-    """Ask for the claims that the asking instance has to know as a home.
+    """Ask for the claims that the sender must store as a home.
 
-    It tells that the asking instance is a home from now on. Claims come in
-    the order of their keys, from above ``after`` on.
+    It also announces that the sender is a home from now on. Claims are sent in
+    the order of their keys, starting after the key ``after``.
     """
 
     data_centre: str
@@ -75,10 +75,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyPeer:
-    """One instance that counts when homes are chosen.
+    """Instance that is eligible as a home.
 
-    ``left`` tells that it counts no more, having passed its claims on.
-    ``unseen_ms`` is for how long no list has named it.
+    ``left`` says that it has transferred its claims and is eligible no more.
+    ``unseen_ms`` is how long it has been absent from every list.
     """
 
     id: str
@@ -90,10 +90,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyCopy:
-    """Pass on claims; ``more`` tells that others follow.
+    """Transfer claims; ``more`` says that further ones follow.
 
-    ``leaving`` tells that the sender is no home any more. ``peers`` are the
-    instances that count as homes where the sender is.
+    ``leaving`` says that the sender is no longer a home. ``peers`` are the
+    eligible homes in the view of the sender.
     """
 
     records: tuple[KeyRecord, ...] = ()
--- a/fescuekeel/messages/local.py
+++ b/fescuekeel/messages/local.py
@@ -1,4 +1,4 @@
-"""Messages and snapshots that only cross the components of one instance."""
+"""Messages and snapshots exchanged between components of one instance."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bring a peer's message to the component that subscribed to its type.
+    """Message of a peer, for the component that subscribed to its type.
 
-    ``number`` is zero when no answer is expected.
+    ``number`` is zero if no reply is expected.
     """
 
     sender: str
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerLost:
-    """Tell that the connection to a peer is lost and messages may be, too.
+    """The connection to a peer was lost, and possibly messages with it.
 
-    ``reachable`` is true when a new connection stands already: the peer lives
-    then, and only what was under way is in doubt.
+    ``reachable`` is true if another connection is already established: the
+    peer is alive, and only messages in flight may be lost.
     """
 
     instance_id: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMet:
-    """Tell that a peer has proved who it is on a new connection."""
+    """A peer has authenticated on a new connection."""
 
     instance_id: str
     address: str
@@ -65,14 +65,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointLeaving:
-    """Tell that an endpoint is leaving, as its owner has learned from it."""
+    """An endpoint has reported to its owner that it is leaving."""
 
     endpoint: str
     incarnation: int
 
 
 class LiveRole(StrEnum):
-    """Name what an entry of the platform's live list is."""
+    """Kind of an entry in the platform's live list."""
 
     INSTANCE = "instance"
     ENDPOINT = "endpoint"
@@ -80,9 +80,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveEntry:
-    """One row of the platform's list of live and leaving instances.
+    """Entry of the platform's list of live and leaving processes.
 
-    ``incarnation`` grows each time the same id starts anew.
+    ``incarnation`` grows with each restart under the same id.
     """
 
     id: str
@@ -96,13 +96,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveList:
-    """The platform's list as last read, which lags behind reality."""
+    """The platform's list as last read; it may be stale."""
 
     entries_by_id: dict[str, LiveEntry] = field(default_factory=dict)
 
 
 class InstanceState(StrEnum):
-    """Name what is believed of an instance."""
+    """State of an instance in the membership view."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Describe one instance of the system."""
+    """Instance in the membership view."""
 
     id: str
     address: str
@@ -123,13 +123,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """What this instance believes of all instances and endpoints.
+    """View that this instance has of all instances and endpoints.
 
-    ``members_by_id`` holds all that are not known dead or gone, this one
-    included. ``endpoints_by_id`` holds the endpoints that may get work: those
-    of the live list less those that are known to be leaving. ``left`` names
-    the instances that shut down gracefully: they are members no more, but
-    finish what they have in progress.
+    ``members_by_id`` has all instances that are not known to be dead or gone,
+    including this one. ``endpoints_by_id`` has the endpoints that may receive
+    requests: those of the live list that are not known to be leaving. ``left``
+    has the instances that are shutting down gracefully: they are no longer
+    members but finish their requests in progress.
     """
 
     members_by_id: dict[str, Member] = field(default_factory=dict)
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TreeHeld:
-    """The revision of the tree that this instance holds and passes on.
+    """Revision of the tree that this instance stores and serves to peers.
 
     ``digest`` is the manifest's SHA-256 in hex.
     """
@@ -150,9 +150,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TreeHeard:
-    """Tell of a revision that another instance holds.
+    """Another instance has announced a revision of the tree.
 
-    ``holder`` is the instance that told of it, empty if it is not known.
+    ``holder`` is that instance, empty if unknown.
     """
 
     revision: int
@@ -162,21 +162,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsReloaded:
-    """Tell that the instance's settings were read anew."""
+    """The settings of the instance were reloaded."""
 
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """Ask this instance to shut down gracefully."""
+    """Request to shut down this instance gracefully."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class EntryOpenWork:
-    """Let the owner ask which of this entry's requests may be running.
+    """Access to the requests of this entry that may be running.
 
-    ``list_work`` takes an endpoint's id.
+    ``list_work`` takes the id of an endpoint; the owner calls it.
     """
 
     list_work: Callable[[str], tuple[RunningWork, ...]]
@@ -184,10 +184,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnedEndpoint:
-    """What this instance is to one endpoint, for operators.
+    """Ownership of one endpoint, as shown to operators.
 
-    ``state`` is ``acquiring``, ``owned`` or ``absent``; the last is an owner
-    that has handed over and still finishes what runs.
+    ``state`` is ``acquiring``, ``owned`` or ``absent``. An absent owner has
+    handed the endpoint over and still finishes its running requests.
     """
 
     endpoint: str
@@ -200,6 +200,6 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnedEndpoints:
-    """The snapshot of all endpoints that this instance owns or finishes."""
+    """All endpoints that this instance owns or has requests running on."""
 
     endpoints_by_id: dict[str, OwnedEndpoint] = field(default_factory=dict)
--- a/fescuekeel/messages/ownership.py
+++ b/fescuekeel/messages/ownership.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CopyAsk:
-    """Ask the owner of an adapter's other endpoint what a load means there."""
+    """Ask the owner of the adapter's other endpoint for a load's cost."""
 
     endpoint: str
     adapter: AdapterRef
@@ -28,10 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CopyAnswer:
-    """Answer with that endpoint's situation; not ``owned`` means none.
+    """State of that endpoint; meaningless unless ``owned``.
 
-    ``held`` tells that the adapter is loaded or will be, ``score`` how popular
-    the adapter is that a load would displace, ``queued`` how many wait.
+    ``held`` says that the adapter is loaded or being loaded, ``score`` is the
+    popularity of the adapter that a load would evict, and ``queued`` the
+    number of queued requests.
     """
 
     endpoint: str
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningWork:
-    """Name a request that may be running on an endpoint."""
+    """Request that may be running on an endpoint."""
 
     request_id: str
     adapter: AdapterRef
@@ -52,17 +53,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningAsk:
-    """Ask an instance which unfinished requests it knows on an endpoint."""
+    """Ask for the unfinished requests that a peer knows on an endpoint."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class RunningAnswer:
-    """Answer with all of them, and with the highest fencing number known.
+    """The unfinished requests, and the highest fencing token known.
 
-    ``given`` says that the instance owned the endpoint until a moment ago and
-    gave it up in favour of the one that asks.
+    ``given`` says that the sender has just given up its ownership of the
+    endpoint in favour of the asking instance.
     """
 
     endpoint: str
@@ -73,9 +74,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverOffer:
-    """Pass an endpoint to its next owner at a graceful shutdown.
+    """Hand an endpoint over to its next owner at a graceful shutdown.
 
-    ``work`` is still running under the old owner, which keeps its streams.
+    ``work`` is still running under the old owner, which finishes its streams.
     """
 
     endpoint: str
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverAnswer:
-    """Say that the handover is known to the next owner."""
+    """Accept or reject a handover."""
 
     endpoint: str
     accepted: bool
--- a/fescuekeel/messages/tree.py
+++ b/fescuekeel/messages/tree.py
@@ -1,4 +1,4 @@
-"""Messages that pass on the published tree, and turns at the weight store.
+"""Messages that distribute the tree and grant turns at the weight store.
 
 Each class has a struct of the same name in ``schema/peer.capnp``.
 """
@@ -20,7 +20,7 @@
 class TreeAsk:
     """Ask for a part of a revision; an empty name asks for the manifest.
 
-    Revision 0 asks for the highest revision that the peer holds.
+    Revision 0 asks for the highest revision that the peer stores.
     """
 
     revision: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TreePart:
-    """Carry a part or a manifest; revision 0 says that it is not held."""
+    """A part or a manifest; revision 0 says that it is not available."""
 
     revision: int
     name: str
@@ -38,11 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnAsk:
-    """Ask the leader of load turns for a turn at the weight store.
+    """Ask the leader for a turn at the weight store.
 
-    ``value`` orders the asks, the highest first; ``waiting`` is how many
-    requests wait for the load. ``last`` sums up how many milliseconds the
-    previous load took, zero if unknown.
+    Turns limit the concurrent loads. ``value`` orders the waiting asks, the
+    highest first; ``waiting`` is the number of requests that wait for the
+    load.
     """
 
     endpoint: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnDone:
-    """Give a turn back."""
+    """Release a turn."""
 
     endpoint: str
     adapter: AdapterRef
--- a/fescuekeel/messages/wire.py
+++ b/fescuekeel/messages/wire.py
@@ -1,7 +1,7 @@
-"""What crosses instances: all kinds of messages, and their envelope.
+"""Union of all messages between instances, and their envelope.
 
-Times on the wire are relative, in milliseconds, since clocks of different
-instances do not agree.
+Times on the wire are relative, in milliseconds, since the clocks of instances
+are not synchronised.
 """
 
 from dataclasses import dataclass
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """Wrap one message: its number, and the number that it answers, or 0."""
+    """One message; ``answers`` is the number it replies to, 0 for none."""
 
     number: int
     answers: int
--- a/fescuekeel/messages/work.py
+++ b/fescuekeel/messages/work.py
@@ -1,6 +1,7 @@
-"""Messages of a request between its entry and an endpoint's owner.
+"""Messages about a request between its entry and an endpoint's owner.
 
-Each class has a struct of the same name in ``schema/peer.capnp``.
+The entry is the instance that received the request from its caller. Each class
+has a struct of the same name in ``schema/peer.capnp``.
 """
 
 from dataclasses import dataclass
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class AdapterRef:
-    """Name one version of one adapter; both empty for a plain service.
+    """Version of an adapter; both fields are empty for a plain service.
 
     >>> str(AdapterRef("cups-and-balls", "3"))
     'cups-and-balls@3'
@@ -30,24 +31,25 @@
     version: str = ""
 
     def __str__(self) -> str:
-        """Return the reference as callers write it."""
+        """Return the reference in the form that callers use."""
         return f"{self.name}@{self.version}" if self.name else ""
 
     def __bool__(self) -> bool:
-        """Tell whether an adapter is named at all."""
+        """Return whether an adapter is given."""
         return bool(self.name)
 
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """Hand a request to the owner of an endpoint.
-
-    ``attempt`` numbers the entry's tries of this request, and each event in
-    return repeats it, so that a late event of an earlier try is told apart.
-    ``urgency`` is 0 for the most urgent. With ``resume`` the request runs
-    already and its stream is wanted from token ``resume_position`` on; it
-    must not be run again. ``method`` and ``path`` matter to plain services.
-    ``moved`` says that an owner sent it on before, which happens only once.
+    """Submit a request to the owner of an endpoint.
+
+    ``attempt`` numbers the entry's attempts at this request and is repeated in
+    each reply, so that late replies to an earlier attempt are recognised.
+    ``urgency`` 0 is the most urgent. With ``resume`` the request is already
+    running and must not run again; its stream is resumed at token
+    ``resume_position``. ``method`` and ``path`` are for plain services.
+    ``moved`` says that another owner has forwarded it, which happens at most
+    once.
     """
 
     request_id: str
@@ -73,9 +75,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitAnswer:
-    """Say that a request is queued, or refused with a kind and never run.
+    """The request was queued, or refused with an error kind and never run.
 
-    ``endpoint`` is where it goes instead when it was moved.
+    ``endpoint`` is the new endpoint if the request was moved.
     """
 
     accepted: bool
@@ -87,11 +89,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAsk:
-    """Ask the entry instance for leave to hand over a non-repeatable request.
+    """Ask the entry for permission to send a non-repeatable request.
 
     The entry grants it to one attempt only. Until then it may safely try
-    elsewhere or tell the caller "not run", since an owner without leave never
-    hands over.
+    another endpoint or report "not run" to the caller, since an owner without
+    permission never sends the request to its endpoint.
     """
 
     request_id: str
@@ -102,14 +104,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAnswer:
-    """Grant or deny the hand-over."""
+    """Grant or deny the permission."""
 
     granted: bool
 
 
 @dataclass(frozen=True, slots=True)
 class WorkStarted:
-    """Say that a repeatable request may have reached its endpoint."""
+    """A repeatable request may have reached its endpoint."""
 
     request_id: str
     attempt: int
@@ -119,11 +121,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkChunk:
-    """Carry a piece of the answer.
+    """Chunk of the response.
 
-    ``position`` is the number of the first token in ``data`` where the
-    answer is a stream of tokens, and zero otherwise. ``tokens`` is how many
-    tokens ``data`` holds, zero for the end mark of a stream.
+    ``position`` is the index of the first token in ``data`` if the response is
+    a stream of tokens, and zero otherwise. ``tokens`` is the number of tokens
+    in ``data``, zero for the end marker of a stream.
     """
 
     request_id: str
@@ -135,10 +137,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkEnd:
-    """End a request; an empty kind means success with ``status``.
+    """A request has ended; an empty kind means success with ``status``.
 
     ``stall_ms`` is how long it waited for its adapter to be loaded, and
-    ``queue_ms`` how long it waited in all before the hand-over.
+    ``queue_ms`` how long it waited in total before it was sent.
     """
 
     request_id: str
@@ -155,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelWork:
-    """Stop a request whose caller went away."""
+    """Cancel a request whose caller has disconnected."""
 
     request_id: str
     attempt: int
--- a/fescuekeel/util/__init__.py
+++ b/fescuekeel/util/__init__.py
@@ -1,1 +1,1 @@
-"""Pure functions with no knowledge of the system."""
+"""Pure functions that are independent of the rest of the system."""
--- a/fescuekeel/util/rendezvous.py
+++ b/fescuekeel/util/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every reader of the same set ranks it alike."""
+"""Rendezvous hashing: everyone ranks the same set of nodes alike."""
 
 from collections.abc import Iterable
 
@@ -12,7 +12,7 @@
 
 
 def rank(key: str, nodes: Iterable[str]) -> list[str]:
-    """Sort nodes by their score for the key, the home first.
+    """Sort nodes by their score for the key, the key's home first.
 
     Removing a node moves only the keys whose home it was.
 
@@ -24,7 +24,7 @@
 
 
 def choose(key: str, nodes: Iterable[str]) -> str | None:
-    """Return the home of a key, or ``None`` when there are no nodes.
+    """Return the home of a key, or ``None`` if there are no nodes.
 
     >>> choose("key", [])
     >>> choose("key", ["a"])
--- a/fescuekeel/util/ring.py
+++ b/fescuekeel/util/ring.py
@@ -1,4 +1,4 @@
-"""Choose a few of many peers so that together they reach all of them."""
+"""Overlay of connections between instances, based on a hash ring."""
 
 from collections.abc import Collection
 
@@ -6,19 +6,17 @@
 
 __all__ = ["list_contacts"]
 
-# In a fleet of so many, everybody talks to everybody.
-SMALL_FLEET = 16
+# Below this number of peers the overlay is a full mesh.
+FULL_MESH_LIMIT = 16
 
 
 def list_contacts(own_id: str, ids: Collection[str]) -> set[str]:
-    """Return the peers that an instance talks to of its own accord.
+    """Return the peers to which an instance sends messages proactively.
 
-    On a ring of all instances, in the order of their hashes, these are the
-    ones 1, 2, 4, 8 and so on places ahead. Everybody has as many contacts as
-    there are others who have it as theirs, and word passed on by contacts
-    reaches all in as many steps as there are contacts. So connections and
-    messages of an instance grow with the logarithm of the fleet: at 195
-    instances 8 contacts in place of 194.
+    These are the instances 1, 2, 4, 8 and so on positions ahead on a ring of
+    all instances, ordered by hash. In-degree and out-degree are equal, and
+    both the degree and the number of hops to reach every instance are
+    logarithmic in the size of the fleet.
 
     >>> ids = {f"i{number}" for number in range(195)}
     >>> len(list_contacts("i0", ids))
@@ -27,7 +25,7 @@
     ['i1', 'i2']
     """
     others = set(ids) - {own_id}
-    if len(others) < SMALL_FLEET:
+    if len(others) < FULL_MESH_LIMIT:
         return others
     ring = sorted(others | {own_id}, key=lambda id: (_hash(id), id))
     own_place = ring.index(own_id)
--- a/tests/helpers/test_exchange.py
+++ b/tests/helpers/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP connections, against servers that misbehave."""
+"""Tests of HTTP connections to faulty servers."""
 
 import asyncio
 import contextlib
@@ -20,9 +20,9 @@
 
 
 class Server:
-    """Answer each request on a connection with the next piece of a script.
+    """Answer each request on a connection with the next step of a script.
 
-    A piece is bytes, or one of the words ``close`` and ``reset``.
+    A step is a list of bytes, ``close`` and ``reset``.
     """
 
     def __init__(self, *script):
@@ -63,8 +63,8 @@
     return asyncio.run(asyncio.wait_for(work, 5.0))
 
 
-class TestWholeAnswers:
-    def test_connection_is_used_again(self):
+class TestCompleteResponses:
+    def test_connection_is_reused(self):
         async def work():
             async with Server([WHOLE], [WHOLE]) as server:
                 connection = await connect(server.address, 1.0)
@@ -75,7 +75,7 @@
 
         run(work())
 
-    def test_answer_without_length_ends_with_its_connection(self):
+    def test_response_without_length_ends_with_its_connection(self):
         async def work():
             async with Server([b"HTTP/1.1 200 OK\r\n\r\nok", "close"]) as server:
                 connection = await connect(server.address, 1.0)
@@ -85,7 +85,7 @@
         run(work())
 
 
-class TestBrokenAnswers:
+class TestIncompleteResponses:
     @pytest.mark.parametrize(
         "script",
         [
@@ -98,12 +98,8 @@
             ["reset"],
         ],
     )
-    def test_answer_that_ends_early_is_not_whole(self, script):
-        """A caller took the first half of an answer for the whole one.
-
-        The endpoint broke off; without a length the end of the connection
-        looks like the end of the answer, unless it was a reset.
-        """
+    def test_truncated_response_is_an_error(self, script):
+        """A truncated response must not be taken for a complete one."""
 
         async def work():
             async with Server(script) as server:
@@ -113,7 +109,7 @@
 
         run(work())
 
-    def test_silence_ends_with_the_deadline(self):
+    def test_missing_response_times_out(self):
         async def work():
             async with Server([b""], [b""]) as server:
                 connection = await connect(server.address, 1.0)
@@ -124,13 +120,9 @@
         run(work())
 
 
-class TestForeignBytes:
-    def test_second_answer_is_nobodys(self):
-        """A caller got the answer of another request.
-
-        An endpoint sent one answer twice; the second copy was read as the
-        answer to the next request on that connection.
-        """
+class TestUnexpectedData:
+    def test_duplicated_response_closes_the_connection(self):
+        """It must not be taken for the response to the next request."""
 
         async def work():
             async with Server([WHOLE + WHOLE]) as server:
@@ -140,7 +132,7 @@
 
         run(work())
 
-    def test_late_second_answer_is_nobodys(self):
+    def test_late_duplicated_response_closes_the_connection(self):
         async def work():
             async with Server([WHOLE, WHOLE]) as server:
                 connection = await connect(server.address, 1.0)
@@ -152,18 +144,15 @@
 
 
 class TestNothingSent:
-    def test_refused_connection_says_so(self):
+    def test_refused_connection_raises_not_connected(self):
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             address = f"127.0.0.1:{taken.getsockname()[1]}"
         with pytest.raises(NotConnectedError):
             run(connect(address, 1.0))
 
-    def test_connection_that_closed_while_idle_is_not_taken(self):
-        """A request that may not run twice ended with an unknown outcome.
-
-        It went out on a kept connection that the endpoint had closed.
-        """
+    def test_connection_closed_while_idle_is_not_reused(self):
+        """The outcome of a request sent on it would be unknown."""
 
         async def work():
             async with Server([WHOLE, "close"]) as server:
@@ -176,7 +165,7 @@
 
         run(work())
 
-    def test_connection_is_not_kept_for_too_long(self):
+    def test_expired_connection_is_closed(self):
         async def work():
             async with Server([WHOLE], [WHOLE]) as server:
                 pool = ConnectionPool(server.address)
@@ -190,13 +179,8 @@
 
 
 class TestClose:
-    def test_what_was_not_delivered_is_dropped(self):
-        """An engine was ordered to hold more than it has places for.
-
-        An order was given up behind a cut, and its endpoint passed to another
-        holder. When the cut healed, the kernel delivered the old order, which
-        the new holder's count did not have.
-        """
+    def test_close_resets_the_connection(self):
+        """The kernel must not deliver a cancelled order after a partition."""
 
         async def work():
             ended = asyncio.get_running_loop().create_future()
--- a/tests/helpers/test_http.py
+++ b/tests/helpers/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of what all HTTP clients have in common."""
+"""Tests of the helpers shared by HTTP clients."""
 
 import asyncio
 import gc
@@ -9,7 +9,7 @@
 
 
 class FakeClient:
-    """Hand out one future as the library does."""
+    """Return one future, as Tornado's client does."""
 
     def __init__(self):
         self.future = asyncio.get_running_loop().create_future()
@@ -18,19 +18,14 @@
         return self.future
 
 
-class TestGivenUpCalls:
-    def test_a_call_that_is_given_up_ends_without_a_word(self):
-        """Logs fill with errors of calls that nobody waits for any more.
-
-        A task waits for an answer and is cancelled, then the connection
-        breaks. The library reports an error for a cancelled call,
-        asyncio one for an error that was never looked at.
-        """
+class TestAbandonedCalls:
+    def test_failure_after_cancellation_is_not_reported(self):
+        """Errors of abandoned calls must not fill the log."""
 
         async def run():
-            said = []
+            reported = []
             loop = asyncio.get_running_loop()
-            loop.set_exception_handler(lambda _, context: said.append(context))
+            loop.set_exception_handler(lambda _, context: reported.append(context))
             client = FakeClient()
             fetching = begin_fetch(client, "request")
             fetching.cancel()
@@ -40,11 +35,11 @@
             await asyncio.sleep(0)
             del client.future
             gc.collect()
-            return said
+            return reported
 
         assert asyncio.run(run()) == []
 
-    def test_an_error_reaches_whoever_waits(self):
+    def test_error_is_raised_to_the_awaiting_task(self):
         async def run():
             client = FakeClient()
             fetching = begin_fetch(client, "request")
--- a/tests/helpers/test_logging.py
+++ b/tests/helpers/test_logging.py
@@ -1,12 +1,12 @@
-"""Tests of the log lines' own thread."""
+"""Tests of the background log writer."""
 
 import io
 import threading
 
 from fescuekeel.helpers.logging import (
+    FLUSH_INTERVAL_S,
+    MAX_QUEUED_LINES,
     OTHER_LINES_PER_S,
-    PAUSE_S,
-    QUEUE_LINES,
     SUCCESS_LINES_PER_S,
     LineDestination,
 )
@@ -15,7 +15,7 @@
 
 
 class Sink(io.StringIO):
-    """Tell when a text was written, and block while told to."""
+    """Signal each write, and block while ``open`` is cleared."""
 
     def __init__(self):
         super().__init__()
@@ -31,11 +31,8 @@
 
 
 class TestLineDestination:
-    def test_a_line_that_comes_in_the_pause_is_written(self):
-        """The last line before a quiet night comes right after another.
-
-        It would be missing until the morning if nothing woke the writer.
-        """
+    def test_line_queued_between_flushes_is_written(self):
+        """The last line before an idle period must not stay queued."""
         sink = Sink()
         destination = LineDestination(sink)
         destination.start()
@@ -47,27 +44,24 @@
         assert "event=first" in sink.getvalue()
         assert "event=second" in sink.getvalue()
 
-    def test_a_blocked_sink_stops_nobody(self):
-        """The reader of the log hangs, and the pipe is full.
-
-        Every stream would stop at the next line of any request.
-        """
+    def test_blocked_sink_does_not_block_the_caller(self):
+        """A full log pipe must not block the event loop."""
         sink = Sink()
         sink.open.clear()
         destination = LineDestination(sink)
         destination.start()
         destination({"message_type": "stuck"})
-        threading.Event().wait(PAUSE_S)
-        # Of one event there is a limit a second, which is not meant here.
-        for number in range(QUEUE_LINES + 5):
+        threading.Event().wait(FLUSH_INTERVAL_S)
+        # Distinct event names avoid the rate limit per event.
+        for number in range(MAX_QUEUED_LINES + 5):
             destination({"message_type": f"next-{number}"})
         assert destination.dropped > 0
         sink.open.set()
         destination.stop()
-        assert sink.getvalue().count("event=next-") >= QUEUE_LINES - 1
+        assert sink.getvalue().count("event=next-") >= MAX_QUEUED_LINES - 1
 
 
-class TestVolume:
+class TestRateLimit:
     def write(self, messages):
         sink = Sink()
         destination = LineDestination(sink)
@@ -77,11 +71,8 @@
         destination.stop()
         return sink.getvalue().splitlines()
 
-    def test_failures_are_kept_before_successes(self):
-        """The line of the one request that failed was not in the log.
-
-        Thousands of successes a second had filled it.
-        """
+    def test_successes_do_not_displace_failures(self):
+        """The line of a single failure must survive a flood of successes."""
         many = [
             {"timestamp": 5.0, "message_type": "ended", "outcome": "answered"}
         ] * 3000
@@ -90,7 +81,7 @@
         assert sum("outcome=answered" in line for line in lines) == SUCCESS_LINES_PER_S
         assert any("outcome=broken" in line for line in lines)
 
-    def test_what_was_left_out_is_counted(self):
+    def test_dropped_lines_are_counted(self):
         many = [{"timestamp": 5.0, "message_type": "refused"}] * 1000
         later = {"timestamp": 6.0, "message_type": "other"}
         lines = self.write([*many, later])
--- a/tests/helpers/test_losses.py
+++ b/tests/helpers/test_losses.py
@@ -1,8 +1,8 @@
-"""Tests of telling from logs where requests lost their time."""
+"""Tests of the latency breakdown computed from logs."""
 
 import pytest
 
-from fescuekeel.helpers.losses import Fate, Stage, read_losses
+from fescuekeel.helpers.losses import RequestResult, Stage, read_losses
 from fescuekeel.helpers.losses_view import make_view, plot_losses
 
 ENDED = (
@@ -25,18 +25,18 @@
 
 class TestRoutes:
     @pytest.mark.parametrize(
-        ("line", "fate"),
+        ("line", "result"),
         [
-            (ended(), Fate.ON_TIME),
-            (ended(first=601), Fate.LATE),
-            (ended(gap=301), Fate.LATE),
-            (ended(first=-1, outcome="load_failed"), Fate.REFUSED),
-            (ended(outcome="outcome_unknown"), Fate.FAILED),
-            (ended(outcome="caller_gone"), Fate.GONE),
+            (ended(), RequestResult.ON_TIME),
+            (ended(first=601), RequestResult.LATE),
+            (ended(gap=301), RequestResult.LATE),
+            (ended(first=-1, outcome="load_failed"), RequestResult.REFUSED),
+            (ended(outcome="outcome_unknown"), RequestResult.FAILED),
+            (ended(outcome="caller_gone"), RequestResult.GONE),
         ],
     )
-    def test_ends_are_told_apart(self, line, fate):
-        assert read(line).routes_by_name["r"].count_by_fate == {fate: 1}
+    def test_results_are_classified(self, line, result):
+        assert read(line).routes_by_name["r"].count_by_result == {result: 1}
 
     @pytest.mark.parametrize(
         ("lines", "stage"),
@@ -47,16 +47,16 @@
             ([ended(gap=900)], Stage.PAUSE),
         ],
     )
-    def test_longest_part_of_a_late_request_is_named(self, lines, stage):
+    def test_late_request_is_attributed_to_its_longest_stage(self, lines, stage):
         assert read(*lines).routes_by_name["r"].lost_by_stage == {stage: 1}
 
-    def test_waits_of_another_request_do_not_count(self):
+    def test_waits_of_other_requests_are_ignored(self):
         losses = read(waited("b", 900), ended("a", waited=700, first=800))
         assert losses.routes_by_name["r"].lost_by_stage == {Stage.TURN: 1}
 
 
 class TestLoads:
-    def test_stages_of_loads_are_collected(self):
+    def test_load_times_are_collected(self):
         line = "event=load_ended endpoint=e1 weights=m/a place_ms=40 took_ms=250"
         view = make_view(read(line, line))
         assert view["loads"]["ended"] == 2
@@ -65,13 +65,13 @@
         assert view["loads"]["took_ms_p90"] == 250
         assert view["loads_by_endpoint"] == {"e1": 2}
 
-    def test_dropped_lines_are_told(self):
+    def test_dropped_lines_are_shown(self):
         view = make_view(read("event=lines_dropped dropped=load_ended count=7"))
         assert view["lines_left_out"] == 7
 
 
 class TestPlot:
-    def test_picture_is_written(self, tmp_path):
+    def test_plot_is_written(self, tmp_path):
         path = tmp_path / "losses.png"
         plot_losses(read(ended(first=900)), path)
         assert path.read_bytes().startswith(b"\x89PNG")
--- a/tests/helpers/test_pages.py
+++ b/tests/helpers/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests of the server of small pages."""
+"""Tests of the page server."""
 
 import asyncio
 from http import HTTPStatus
@@ -41,6 +41,6 @@
             ("POST", "/text", 405, b""),
         ],
     )
-    def test_each_path_has_its_page(self, method, path, status, body):
+    def test_response_per_method_and_path(self, method, path, status, body):
         answer = asyncio.run(ask(method, path))
         assert (answer.code, answer.body) == (status, body)
--- a/tests/helpers/test_settings.py
+++ b/tests/helpers/test_settings.py
@@ -20,12 +20,12 @@
             ("id = i1\n", "no section headers"),
         ],
     )
-    def test_what_is_wrong_is_named(self, text, place):
+    def test_error_names_the_section_and_key(self, text, place):
         failure = parse_settings(text).failure()
         assert failure.kind is ErrorKind.INVALID_SETTINGS
         assert place in failure.detail
 
-    def test_a_missing_file_is_named(self, tmp_path):
+    def test_error_names_a_missing_file(self, tmp_path):
         path = tmp_path / "none.ini"
         failure = read_settings(path).failure()
         assert failure.kind is ErrorKind.INVALID_SETTINGS
--- a/tests/helpers/test_trace.py
+++ b/tests/helpers/test_trace.py
@@ -1,4 +1,4 @@
-"""Tests of finding a request's cause in the logs."""
+"""Tests of tracing a request through the logs."""
 
 import pytest
 
@@ -21,22 +21,22 @@
 
 
 class TestGather:
-    def test_cause_is_named(self):
+    def test_cause_includes_the_detail(self):
         trace = gather("id1", FILES)
         assert "could not be loaded" in trace.cause
         assert "too many loads wait" in trace.cause
 
-    def test_other_instances_lines_about_the_endpoint_are_shown(self):
+    def test_context_has_other_instances_lines_about_the_endpoint(self):
         shown = [line.text for line in gather("id1", FILES).context]
         assert HOLDER[0] in shown
         assert HOLDER[1] in shown
         assert HOLDER[2] not in shown
 
-    def test_own_lines_come_in_their_order(self):
+    def test_lines_of_the_request_are_selected(self):
         assert [line.number for line in gather("id1", FILES).own] == [3]
 
-    def test_unknown_request_says_so(self):
-        assert "no line of it" in gather("id9", FILES).cause
+    def test_unknown_request_has_no_log_line(self):
+        assert "no log line" in gather("id9", FILES).cause
 
 
 class TestCommand:
--- a/tests/helpers/test_wire.py
+++ b/tests/helpers/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of the codec between instances."""
+"""Tests of the codec of messages between instances."""
 
 import dataclasses
 import typing
@@ -22,7 +22,7 @@
 )
 
 TEXT = st.text(st.characters(exclude_categories=["Cs"], exclude_characters="\0"))
-PLAIN_BY_TYPE = {
+SCALAR_STRATEGIES_BY_TYPE = {
     bool: st.booleans(),
     bytes: st.binary(),
     float: st.floats(allow_nan=False),
@@ -32,9 +32,9 @@
 
 
 def build(hint):
-    """Return a strategy for the values of a message's field."""
-    if hint in PLAIN_BY_TYPE:
-        return PLAIN_BY_TYPE[hint]
+    """Return a strategy for values of a message field's type."""
+    if hint in SCALAR_STRATEGIES_BY_TYPE:
+        return SCALAR_STRATEGIES_BY_TYPE[hint]
     if typing.get_origin(hint) is tuple:
         return st.lists(build(typing.get_args(hint)[0]), max_size=3).map(tuple)
     if dataclasses.is_dataclass(hint):
@@ -51,7 +51,7 @@
         variants = SCHEMA.Envelope.schema.fields["body"].schema.union_fields
         assert set(variants) == set(KINDS_BY_VARIANT)
 
-    def test_nested_messages_return_unchanged(self):
+    def test_nested_messages_round_trip(self):
         work = RunningWork("r1", AdapterRef("a", "1.10"), 900)
         news = News(NewsKind.SUSPECT, "i2", 4, "127.0.0.1:9", "dc1")
         for body in (RunningAnswer("e1", 2**60, (work,)), Ping((news, news))):
@@ -59,7 +59,7 @@
             assert decode(encode(envelope)).unwrap() == envelope
 
     @given(MESSAGES, st.integers(0, 2**32 - 1))
-    def test_any_message_returns_unchanged(self, body, number):
+    def test_any_message_round_trips(self, body, number):
         envelope = Envelope(number, 0, body)
         assert decode(encode(envelope)).unwrap() == envelope
 
@@ -71,11 +71,11 @@
         assert decoded == submit
 
     @given(st.binary(max_size=200))
-    def test_any_bytes_give_a_message_or_a_failure(self, frame):
+    def test_arbitrary_bytes_never_raise(self, frame):
         decode(frame)
 
     @given(st.integers(0, 10_000), st.integers(0, 255))
-    def test_a_damaged_frame_gives_a_message_or_a_failure(self, where, value):
+    def test_corrupted_frame_never_raises(self, where, value):
         frame = bytearray(encode(Envelope(1, 0, Ping((News(NewsKind.DEAD, "x", 1),)))))
         frame[where % len(frame)] = value
         decode(bytes(frame))
@@ -89,22 +89,19 @@
         )
         return Envelope(3, 0, Ping(news))
 
-    def test_long_message_is_sent_small(self):
+    def test_long_message_is_compressed(self):
         envelope = self.make_long()
         frame = encode(envelope)
         assert len(frame) < 8_000
         assert decode(frame).unwrap() == envelope
 
-    def test_cut_or_damaged_one_is_a_bad_frame(self):
+    def test_truncated_or_corrupted_frame_is_rejected(self):
         frame = encode(self.make_long())
         for damaged in (frame[:-5], frame[:40] + b"\0\0\0\0" + frame[44:], b"\x78"):
             assert decode(damaged).failure().kind is ErrorKind.BAD_FRAME
 
-    def test_small_frame_does_not_fill_the_memory(self):
-        """An instance was killed for its memory by one frame of 200 KB.
-
-        What it unpacked to was bounded by nothing.
-        """
+    def test_decompression_bomb_is_rejected(self):
+        """A small frame must not exhaust the memory of an instance."""
         bomb = zlib.compress(bytes(20 * MAX_FRAME_BYTES))
         assert len(bomb) < MAX_FRAME_BYTES
         assert decode(bomb).failure().kind is ErrorKind.BAD_FRAME
