--- a/fescuekeel/helpers/dialect.py
+++ b/fescuekeel/helpers/dialect.py
@@ -86,8 +86,8 @@
     """Metadata parsed from the headers of an endpoint's response.
 
     With ``not_run`` the endpoint guarantees that the request has not run and
-    will not. ``signed`` says that the response has the header that every
-    endpoint sets. ``running`` and ``waiting`` are its load, if given.
+    will not. ``signed`` says that the response has the platform's server
+    stamp. ``running`` and ``waiting`` are the endpoint's load, if given.
     ``idle_s`` is its keep-alive timeout, ``None`` if not given.
     """
 
--- a/fescuekeel/helpers/events.py
+++ b/fescuekeel/helpers/events.py
@@ -15,7 +15,7 @@
 class Subject(StrEnum):
     """Category of an event.
 
-    ``BELIEF`` events change this instance's view of the rest of the system.
+    ``BELIEF`` events are changes in the view of the rest of the system.
     """
 
     REQUEST = "request"
--- a/fescuekeel/helpers/exchange.py
+++ b/fescuekeel/helpers/exchange.py
@@ -335,10 +335,10 @@
         async with asyncio.timeout(timeout_s):
             connection.send(method, target, headers, body)
             head = await connection.read_head()
-            whole = bytearray()
-            while (piece := await connection.read_piece()) is not None:
-                whole += piece.data
-                if len(whole) > MAX_BODY_BYTES:
+            response_body = bytearray()
+            while (chunk := await connection.read_piece()) is not None:
+                response_body += chunk.data
+                if len(response_body) > MAX_BODY_BYTES:
                     raise AnswerBrokenError("response body is too long")
     except TimeoutError as error:
         connection.close()
@@ -347,4 +347,4 @@
         connection.close()
         raise
     connection.finish()
-    return HttpAnswer(head.status, head.headers, bytes(whole))
+    return HttpAnswer(head.status, head.headers, bytes(response_body))
--- a/fescuekeel/helpers/logging.py
+++ b/fescuekeel/helpers/logging.py
@@ -106,8 +106,8 @@
 
     def _log_dropped(self, second: int) -> None:
         for event, count in self._dropped_by_event.items():
-            told = {"timestamp": second, "message_type": "lines_dropped"}
-            self._append({**told, "dropped": event, "count": count})
+            summary = {"timestamp": second, "message_type": "lines_dropped"}
+            self._append({**summary, "dropped": event, "count": count})
         self._dropped_by_event.clear()
 
     def _append(self, message: dict[str, Any]) -> None:
--- a/fescuekeel/helpers/losses.py
+++ b/fescuekeel/helpers/losses.py
@@ -1,8 +1,8 @@
 """Latency breakdown of requests, computed from instances' logs.
 
-The stages of a request are the wait for its adapter to be loaded, the wait for
-admission at the engine, the time at the endpoint until the first chunk, and
-pauses within the response.
+The stages of a request are the wait for its adapter to be loaded, the other
+waits before it is sent, mostly for admission at the engine, the time at the
+endpoint until the first chunk, and pauses within the response.
 """
 
 from collections import Counter, defaultdict
--- a/fescuekeel/helpers/settings.py
+++ b/fescuekeel/helpers/settings.py
@@ -26,7 +26,7 @@
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
 Digest = Annotated[str, Meta(pattern=r"^[0-9a-f]{64}$")]
 Positive = Annotated[float, Meta(gt=0)]
-NotNegative = Annotated[float, Meta(ge=0)]
+NonNegative = Annotated[float, Meta(ge=0)]
 
 MIN_KEY_LENGTH = 16
 
@@ -133,12 +133,12 @@
     metrics_address: str = ""
     lease_s: Positive = 3.0
     fenced: bool = False
-    retry_ratio: NotNegative = 0.2
-    retry_slack: NotNegative = 10.0
+    retry_ratio: NonNegative = 0.2
+    retry_slack: NonNegative = 10.0
     retry_window_s: Positive = 10.0
     change_bound_s: Positive = 2.0
     leaving_bound_s: Positive = 2.0
-    revoked_bound_s: NotNegative = 0.0
+    revoked_bound_s: NonNegative = 0.0
     limit_window_s: Positive = 8.0
 
 
--- a/fescuekeel/helpers/trace.py
+++ b/fescuekeel/helpers/trace.py
@@ -38,7 +38,7 @@
     "queue_full": "too many prompts were queued at the engines that hold its adapter",
     "too_late": "its deadline passed before it was sent",
     "tree_not_ready": "its instance had no configuration yet",
-    "unknown_service": "no route of the configuration in force matches it",
+    "unknown_service": "no route of the configuration in force allows it",
 }
 
 
--- a/tests/helpers/test_exchange.py
+++ b/tests/helpers/test_exchange.py
@@ -16,13 +16,13 @@
 )
 
 HEADERS = (("Host", "h"),)
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 class Server:
     """Answer each request on a connection with the next step of a script.
 
-    A step is a list of bytes, ``close`` and ``reset``.
+    A step is a list of actions: bytes to send, ``close`` or ``reset``.
     """
 
     def __init__(self, *script):
@@ -42,15 +42,15 @@
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while self.script:
                 self.requests.append(await reader.readuntil(b"\r\n\r\n"))
-                for piece in self.script.pop(0):
-                    if piece == "reset":
+                for action in self.script.pop(0):
+                    if action == "reset":
                         linger = struct.pack("ii", 1, 0)
                         raw = writer.get_extra_info("socket")
                         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
-                    if piece in ("reset", "close"):
+                    if action in ("reset", "close"):
                         writer.close()
                         return
-                    writer.write(piece)
+                    writer.write(action)
                     await writer.drain()
                     await asyncio.sleep(0.02)
 
@@ -66,7 +66,7 @@
 class TestCompleteResponses:
     def test_connection_is_reused(self):
         async def work():
-            async with Server([WHOLE], [WHOLE]) as server:
+            async with Server([OK_RESPONSE], [OK_RESPONSE]) as server:
                 connection = await connect(server.address, 1.0)
                 first = await get(connection)
                 second = await get(connection)
@@ -125,7 +125,7 @@
         """It must not be taken for the response to the next request."""
 
         async def work():
-            async with Server([WHOLE + WHOLE]) as server:
+            async with Server([OK_RESPONSE + OK_RESPONSE]) as server:
                 connection = await connect(server.address, 1.0)
                 await get(connection)
                 assert not connection.usable
@@ -134,7 +134,7 @@
 
     def test_late_duplicated_response_closes_the_connection(self):
         async def work():
-            async with Server([WHOLE, WHOLE]) as server:
+            async with Server([OK_RESPONSE, OK_RESPONSE]) as server:
                 connection = await connect(server.address, 1.0)
                 await get(connection)
                 await asyncio.sleep(0.1)
@@ -155,7 +155,7 @@
         """The outcome of a request sent on it would be unknown."""
 
         async def work():
-            async with Server([WHOLE, "close"]) as server:
+            async with Server([OK_RESPONSE, "close"]) as server:
                 pool = ConnectionPool(server.address)
                 connection = await pool.open(1.0)
                 await get(connection)
@@ -167,7 +167,7 @@
 
     def test_expired_connection_is_closed(self):
         async def work():
-            async with Server([WHOLE], [WHOLE]) as server:
+            async with Server([OK_RESPONSE], [OK_RESPONSE]) as server:
                 pool = ConnectionPool(server.address)
                 connection = await pool.open(1.0)
                 await get(connection)
--- a/tests/helpers/test_settings.py
+++ b/tests/helpers/test_settings.py
@@ -5,7 +5,7 @@
 from fescuekeel.errors import ErrorKind
 from fescuekeel.helpers.settings import parse_settings, read_settings
 
-WHOLE = "[instance]\nid = i1\ndata_centre = dc1\n"
+INSTANCE_SECTION = "[instance]\nid = i1\ndata_centre = dc1\n"
 
 
 class TestSettings:
@@ -14,9 +14,9 @@
         [
             ("", "instance"),
             ("[instance]\n", "instance.id"),
-            (WHOLE + "speed = 9\n", "instance.speed"),
-            (WHOLE + "[pears]\nseeds = x\n", "pears"),
-            (WHOLE + "id = i2\n", "already exists"),
+            (INSTANCE_SECTION + "speed = 9\n", "instance.speed"),
+            (INSTANCE_SECTION + "[pears]\nseeds = x\n", "pears"),
+            (INSTANCE_SECTION + "id = i2\n", "already exists"),
             ("id = i1\n", "no section headers"),
         ],
     )
