--- a/fescuekeel/helpers/trace.py
+++ b/fescuekeel/helpers/trace.py
@@ -34,10 +34,10 @@
     "load_failed": "its adapter could not be loaded in time; see load_asked",
     "no_endpoint": "no endpoint of its service was left to try",
     "outcome_unknown": "it was sent, but the response was incomplete; it may have run",
-    "answer_cut": "its response broke off; see answer_broken",
+    "answer_cut": "its response broke off midway; see answer_broken",
     "queue_full": "too many prompts were queued at the engines that hold its adapter",
     "too_late": "its deadline passed before it was sent",
-    "tree_not_ready": "its instance had no configuration yet",
+    "tree_not_ready": "its instance knew no configuration yet",
     "unknown_service": "no route of the configuration in force allows it",
 }
 
