--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -88,7 +88,7 @@
         f"{INTENT}::TestRefusedTrees::test_the_message_names_part_and_place"
     ),
     ErrorKind.INVALID_SETTINGS: (
-        "helpers/test_settings.py::TestSettings::test_what_is_wrong_is_named"
+        "helpers/test_settings.py::TestSettings::test_error_names_the_section_and_key"
     ),
     ErrorKind.INTERNAL: f"{OWNER}::TestEngineFailures::test_fault_of_ours_is_answered",
 }
