--- a/tests/helpers/test_settings.py
+++ b/tests/helpers/test_settings.py
@@ -5,7 +5,7 @@
 from fescuekeel.errors import ErrorKind
 from fescuekeel.helpers.settings import parse_settings, read_settings
 
-WHOLE = "[instance]\nid = i1\ndata_centre = dc1\n"
+INSTANCE_SECTION = "[instance]\nid = i1\ndata_centre = dc1\n"
 
 
 class TestSettings:
@@ -14,18 +14,18 @@
         [
             ("", "instance"),
             ("[instance]\n", "instance.id"),
-            (WHOLE + "speed = 9\n", "instance.speed"),
-            (WHOLE + "[pears]\nseeds = x\n", "pears"),
-            (WHOLE + "id = i2\n", "already exists"),
+            (INSTANCE_SECTION + "speed = 9\n", "instance.speed"),
+            (INSTANCE_SECTION + "[pears]\nseeds = x\n", "pears"),
+            (INSTANCE_SECTION + "id = i2\n", "already exists"),
             ("id = i1\n", "no section headers"),
         ],
     )
-    def test_what_is_wrong_is_named(self, text, place):
+    def test_error_names_the_section_and_key(self, text, place):
         failure = parse_settings(text).failure()
         assert failure.kind is ErrorKind.INVALID_SETTINGS
         assert place in failure.detail
 
-    def test_a_missing_file_is_named(self, tmp_path):
+    def test_error_names_a_missing_file(self, tmp_path):
         path = tmp_path / "none.ini"
         failure = read_settings(path).failure()
         assert failure.kind is ErrorKind.INVALID_SETTINGS
