--- a/bench/capacity/wires.py
+++ b/bench/capacity/wires.py
@@ -60,7 +60,7 @@
     began = time.process_time()
     for _ in range(DIALS):
         connection, _ = (await dialer.dial(peers.address, hello)).unwrap()
-        await connection.say_goodbye()
+        await connection.close_gracefully()
     seconds = (time.process_time() - began) / DIALS
     await peers.stop()
     await instance.stop()
--- a/fescuekeel/components/peers/__init__.py
+++ b/fescuekeel/components/peers/__init__.py
@@ -1,4 +1,4 @@
-"""The peers component."""
+"""The peers component: authenticated connections between instances."""
 
 from fescuekeel.components.peers.const import DOMAIN
 from fescuekeel.components.peers.link import Peers
@@ -8,7 +8,7 @@
 
 
 def setup(instance: Instance) -> Peers:
-    """Create the component."""
+    """Create the component of an instance."""
     return Peers(instance)
 
 
--- a/fescuekeel/components/peers/acceptor.py
+++ b/fescuekeel/components/peers/acceptor.py
@@ -1,4 +1,4 @@
-"""Accept connections and refuse strangers."""
+"""Accept connections from peers and reject unauthenticated ones."""
 
 import asyncio
 import ssl
@@ -10,7 +10,7 @@
 from fescuekeel.components.peers.const import (
     HELLO_TIMEOUT_S,
     IDLE_S,
-    MAX_INCOMING,
+    MAX_INCOMING_CONNECTIONS,
 )
 from fescuekeel.components.peers.frames import Direction
 from fescuekeel.const import PROTOCOL_VERSION
@@ -25,21 +25,21 @@
 
 
 class IncomingConnection(Connection):
-    """Tell the acceptor of a connection once it stands."""
+    """Connection that calls ``on_connected`` once it is established."""
 
-    on_made: Callable[[Connection, object], None]
+    on_connected: Callable[[Connection, object], None]
 
     def __init__(self, keys: tuple[bytes, ...], now: Callable[[], float]) -> None:
         super().__init__(keys, Direction.ACCEPTING, now)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin, then tell."""
+        """Start the connection and notify the acceptor."""
         super().connection_made(transport)
-        self.on_made(self, transport.get_extra_info("peername"))
+        self.on_connected(self, transport.get_extra_info("peername"))
 
 
 class Acceptor:
-    """Own the listening socket and the connections that peers opened."""
+    """Manage the listening sockets and the connections opened by peers."""
 
     def __init__(
         self,
@@ -59,7 +59,10 @@
         self._servers: list[asyncio.Server] = []
 
     async def listen_at(self, address: str) -> None:
-        """Listen; port 0 takes a free one, which ``address`` then shows."""
+        """Listen at an address and store the bound one in ``address``.
+
+        Port 0 binds a free port.
+        """
         sockets, self.address = bind_address(address)
         loop = asyncio.get_running_loop()
         for socket in sockets:
@@ -69,90 +72,99 @@
             self._servers.append(server)
 
     def stop(self) -> None:
-        """Accept no further connection."""
+        """Stop accepting connections; open ones are kept."""
         for server in self._servers:
             server.close()
 
     def close_idle(self, now: float) -> None:
-        """Close connections that nothing has come on for long."""
+        """Close connections on which no data has arrived recently.
+
+        The limit exceeds that of the opening side, which should close first.
+        """
         for connection in list(self.connections):
-            if now - connection.heard > 2 * IDLE_S:
-                connection.ended_well = True
+            if now - connection.last_received_at > 2 * IDLE_S:
+                connection.closed_cleanly = True
                 connection.close()
 
     def _make_connection(self) -> asyncio.Protocol:
         connection = IncomingConnection(self._keys, self._instance.now)
-        connection.on_made = self._begin
+        connection.on_connected = self._start_handshake
         return connection
 
-    def _begin(self, connection: Connection, address: object) -> None:
-        if len(self.connections) >= MAX_INCOMING:
-            self._refuse("too_many", address)
+    def _start_handshake(self, connection: Connection, address: object) -> None:
+        if len(self.connections) >= MAX_INCOMING_CONNECTIONS:
+            self._report_refusal("too_many", address)
             connection.close()
             return
         self.connections.add(connection)
-        self._instance.spawn(self._greet(connection, address), "peers.accept")
+        self._instance.spawn(self._handshake(connection, address), "peers.accept")
 
-    def _refuse(self, reason: str, address: object) -> None:
+    def _report_refusal(self, reason: str, address: object) -> None:
         self._instance.metrics.count(f"peers.refused.{reason}")
         log_event("peer_refused", reason=reason, address=address)
 
-    async def _greet(self, connection: Connection, address: object) -> None:
-        """Await the hello, then listen until the end or a broken rule.
+    async def _handshake(self, connection: Connection, address: object) -> None:
+        """Authenticate the peer, then receive until the connection closes.
 
-        Guards against strangers and damage: either shows as a frame that
-        fails a check. Only this connection is closed, nothing of the frame is
-        decoded before its signature holds, and the reason is counted.
+        A frame that is invalid or not signed with a shared key closes only
+        this connection; the reason is counted. Payloads are decoded only
+        after their signature is verified.
         """
         try:
             async with asyncio.timeout(HELLO_TIMEOUT_S):
-                greeted = await self._await_hello(connection)
+                handshake = await self._receive_hello(connection)
         except TimeoutError:
-            greeted = Err(Failure(ErrorKind.PEER_UNREACHABLE, "no hello"))
-        if isinstance(greeted, Err):
-            self._end(connection, address, greeted.failure())
+            handshake = Err(
+                Failure(ErrorKind.PEER_UNREACHABLE, "no Hello received in time")
+            )
+        if isinstance(handshake, Err):
+            self._close(connection, address, handshake.failure())
             return
-        connection.listen(
-            lambda payload: self._take(connection, address, payload),
-            lambda failure: self._end(connection, address, _name(failure)),
+        connection.set_callbacks(
+            lambda payload: self._handle_payload(connection, address, payload),
+            lambda failure: self._close(
+                connection, address, _use_kind_as_detail(failure)
+            ),
         )
 
-    def _take(self, connection: Connection, address: object, payload: bytes) -> None:
+    def _handle_payload(
+        self, connection: Connection, address: object, payload: bytes
+    ) -> None:
         decoded = decode(payload)
         if isinstance(decoded, Err):
-            self._end(connection, address, _name(decoded.failure()))
+            self._close(connection, address, _use_kind_as_detail(decoded.failure()))
             return
         self.on_message(connection, decoded.unwrap())
 
-    def _end(self, connection: Connection, address: object, failure: Failure) -> None:
+    def _close(self, connection: Connection, address: object, failure: Failure) -> None:
         if connection not in self.connections:
             return
         self.connections.discard(connection)
         connection.close()
         if failure.kind is not ErrorKind.PEER_UNREACHABLE:
-            self._refuse(failure.detail or failure.kind.value, address)
+            self._report_refusal(failure.detail or failure.kind.value, address)
         self.on_lost(connection)
 
-    async def _await_hello(self, connection: Connection) -> Result[None, Failure]:
+    async def _receive_hello(self, connection: Connection) -> Result[None, Failure]:
         result = await connection.read()
         if isinstance(result, Err):
-            return Err(_name(result.failure()))
+            return Err(_use_kind_as_detail(result.failure()))
         decoded = decode(result.unwrap())
         if isinstance(decoded, Err):
-            return Err(_name(decoded.failure()))
+            return Err(_use_kind_as_detail(decoded.failure()))
         envelope = decoded.unwrap()
         hello = envelope.body
-        # The connecting side sends nothing more until it has the answer.
-        if not isinstance(hello, Hello) or connection.has_payloads:
+        # The connecting side must wait for the answer before it sends more.
+        if not isinstance(hello, Hello) or connection.has_unread_payloads:
             return Err(Failure(ErrorKind.BAD_FRAME, ErrorKind.BAD_FRAME.value))
         if hello.version != PROTOCOL_VERSION:
             return Err(Failure(ErrorKind.BAD_FRAME, "version"))
-        connection.trust(hello.instance)
+        connection.mark_authenticated(hello.instance)
         answer = Envelope(0, envelope.number, self._on_hello(hello))
         connection.send(encode(answer))
         return Success(None)
 
 
-def _name(failure: Failure) -> Failure:
-    # The detail becomes the counter's name, so that it has to be closed.
+def _use_kind_as_detail(failure: Failure) -> Failure:
+    # The detail becomes part of a metric name and must come from a fixed set.
     return Failure(failure.kind, failure.kind.value)
--- a/fescuekeel/components/peers/connection.py
+++ b/fescuekeel/components/peers/connection.py
@@ -1,4 +1,4 @@
-"""One connection: nonces, frames, a bounded queue and signs of life."""
+"""A connection between two instances: framing, queueing and heartbeats."""
 
 import asyncio
 import contextlib
@@ -23,19 +23,19 @@
 __all__ = ["Connection"]
 
 OnPayload = Callable[[bytes], None]
-OnEnd = Callable[[Failure], None]
+OnClose = Callable[[Failure], None]
 
 
 class Connection(asyncio.Protocol):
-    """Own one connection to or from a peer.
+    """Connection to or from a peer.
 
-    Until ``listen`` is called, ``read`` returns what comes. From then on each
-    payload is handed over as its bytes arrive: a task that waits for them
-    would make three turns of the loop, and three system calls, out of one.
+    Payloads are read with ``read`` until ``set_callbacks`` is called. After
+    that each payload is passed to a callback as its bytes arrive, because a
+    reading task would need more iterations of the event loop per payload.
 
-    ``waiting_since`` is when something was sent that no byte has followed,
-    ``used`` when a message last went either way, ``heard`` when bytes last
-    came; all in monotonic seconds.
+    ``unanswered_since`` is the time of the first payload sent since data last
+    arrived, ``last_message_at`` when a message was last sent or received,
+    and ``last_received_at`` when data last arrived; all in monotonic seconds.
     """
 
     def __init__(
@@ -45,18 +45,18 @@
         now: Callable[[], float],
     ) -> None:
         self.peer_id = ""
-        self.waiting_since: float | None = None
-        self.used = self.heard = now()
-        self.ended_well = False
+        self.unanswered_since: float | None = None
+        self.last_message_at = self.last_received_at = now()
+        self.closed_cleanly = False
         self.closed = False
-        self.question_numbers: set[int] = set()
+        self.request_numbers: set[int] = set()
         self._heartbeat_sent = False
         self._keys = keys
         self._direction = direction
         self._now = now
         self._transport: asyncio.Transport | None = None
         self._own_nonce = os.urandom(NONCE_BYTES)
-        self._their_nonce = b""
+        self._peer_nonce = b""
         self._writer: FrameWriter | None = None
         self._reader: FrameReader | None = None
         self._queue: list[bytes] = []
@@ -65,172 +65,171 @@
         self._paused = False
         self._payloads: list[bytes] = []
         self._failure: Failure | None = None
-        self._changed = asyncio.Event()
+        self._state_changed = asyncio.Event()
         self._on_payload: OnPayload | None = None
-        self._on_end: OnEnd | None = None
+        self._on_close: OnClose | None = None
 
     @property
     def queued_bytes(self) -> int:
-        """Return how many bytes wait for the peer, those in hand included."""
+        """Return the bytes not yet sent, the transport's buffer included."""
         if self.closed or self._transport is None:
             return self._queued_bytes
         return self._queued_bytes + self._transport.get_write_buffer_size()
 
     @property
-    def has_payloads(self) -> bool:
-        """Tell whether more has come than was read."""
+    def has_unread_payloads(self) -> bool:
+        """Return whether payloads have arrived that were not read."""
         return bool(self._payloads)
 
-    # What the event loop calls.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the own nonce.
+        """Send this side's nonce.
 
-        Both sides bring one: with the accepting side's alone, whoever took
-        the place of an accepting instance could repeat its old nonce and with
-        it all its old answers.
+        Both sides contribute one: with the accepting side's alone, an
+        impostor could replay an old nonce and all answers recorded with it.
         """
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.write(self._own_nonce)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the peer."""
-        self.waiting_since = None
+        """Process received bytes: the peer's nonce first, then frames."""
+        self.unanswered_since = None
         self._heartbeat_sent = False
-        self.heard = self._now()
+        self.last_received_at = self._now()
         if self._reader is None:
-            self._their_nonce += data
-            if len(self._their_nonce) < NONCE_BYTES:
+            self._peer_nonce += data
+            if len(self._peer_nonce) < NONCE_BYTES:
                 return
-            data = self._their_nonce[NONCE_BYTES:]
-            self._begin_frames(self._their_nonce[:NONCE_BYTES])
+            data = self._peer_nonce[NONCE_BYTES:]
+            self._start_framing(self._peer_nonce[:NONCE_BYTES])
         assert self._reader is not None
         result = self._reader.feed(data)
         if isinstance(result, Err):
             self._fail(result.failure())
             return
-        self._hand_over(result.unwrap())
+        self._dispatch(result.unwrap())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end."""
+        """Record that the transport has closed."""
         self._fail(Failure(ErrorKind.PEER_UNREACHABLE, "connection lost"))
 
     def pause_writing(self) -> None:
-        """Keep what is sent, so that the bound of the queue counts it."""
+        """Hold payloads in the queue while the transport's buffer is full."""
         self._paused = True
 
     def resume_writing(self) -> None:
-        """Send what was kept."""
+        """Send the payloads held while the transport was paused."""
         self._paused = False
         self._flush()
 
-    def _begin_frames(self, their_nonce: bytes) -> None:
+    def _start_framing(self, peer_nonce: bytes) -> None:
         if self._direction is Direction.CONNECTING:
-            session, their_direction = (
-                self._own_nonce + their_nonce,
+            session, peer_direction = (
+                self._own_nonce + peer_nonce,
                 Direction.ACCEPTING,
             )
         else:
-            session, their_direction = (
-                their_nonce + self._own_nonce,
+            session, peer_direction = (
+                peer_nonce + self._own_nonce,
                 Direction.CONNECTING,
             )
         self._writer = FrameWriter(self._keys[0], session, self._direction)
-        self._reader = FrameReader(
-            self._keys, session, their_direction, MAX_HELLO_BYTES
-        )
+        self._reader = FrameReader(self._keys, session, peer_direction, MAX_HELLO_BYTES)
         self._flush()
 
-    def _hand_over(self, payloads: list[bytes]) -> None:
+    def _dispatch(self, payloads: list[bytes]) -> None:
         for payload in payloads:
             if payload == HEARTBEAT:
-                self._put(HEARTBEAT_ANSWER)
+                self._enqueue(HEARTBEAT_ANSWER)
             elif payload == GOODBYE:
-                self.ended_well = True
+                self.closed_cleanly = True
             elif payload != HEARTBEAT_ANSWER:
-                self.used = self.heard
-                self._take(payload)
+                self.last_message_at = self.last_received_at
+                self._deliver(payload)
 
-    def _take(self, payload: bytes) -> None:
+    def _deliver(self, payload: bytes) -> None:
         if self._on_payload is None:
             self._payloads.append(payload)
-            self._changed.set()
+            self._state_changed.set()
         elif not self.closed:
             self._on_payload(payload)
 
     def _fail(self, failure: Failure) -> None:
-        """End with a failure, the first one counts."""
+        """Close with a failure; only the first failure is kept."""
         if self._failure is not None:
             return
         self._failure = failure
         self.close()
-        self._changed.set()
-        if self._on_end is not None:
-            self._on_end(failure)
+        self._state_changed.set()
+        if self._on_close is not None:
+            self._on_close(failure)
 
     # Reading.
 
     async def read(self) -> Result[bytes, Failure]:
-        """Wait for the next payload, while nobody listens.
+        """Wait for the next payload; only valid before ``set_callbacks``.
 
-        Fails with ``peer_unreachable`` when the connection ends.
+        Fails with the reason for which the connection closed, such as
+        ``peer_unreachable``.
         """
         while not self._payloads:
             if self._failure is not None:
                 return Err(self._failure)
-            self._changed.clear()
-            await self._changed.wait()
+            self._state_changed.clear()
+            await self._state_changed.wait()
         return Success(self._payloads.pop(0))
 
-    def listen(self, on_payload: OnPayload, on_end: OnEnd) -> None:
-        """Call a function with each payload from now on, one with the end."""
+    def set_callbacks(self, on_payload: OnPayload, on_close: OnClose) -> None:
+        """Set the callbacks for each payload and for the close.
+
+        Payloads that have already arrived are delivered at once.
+        """
         self._on_payload = on_payload
-        self._on_end = on_end
-        waiting, self._payloads = self._payloads, []
-        for payload in waiting:
-            self._take(payload)
+        self._on_close = on_close
+        unread, self._payloads = self._payloads, []
+        for payload in unread:
+            self._deliver(payload)
         if self._failure is not None:
-            on_end(self._failure)
+            on_close(self._failure)
 
-    def trust(self, peer_id: str) -> None:
-        """Accept long frames from a peer that has signed its hello."""
+    def mark_authenticated(self, peer_id: str) -> None:
+        """Set the peer's id and allow frames up to ``MAX_FRAME_BYTES``."""
         self.peer_id = peer_id
         assert self._reader is not None
-        self._reader.limit = MAX_FRAME_BYTES
+        self._reader.max_payload_bytes = MAX_FRAME_BYTES
 
     # Sending.
 
     def send(self, payload: bytes) -> bool:
-        """Queue a payload; return false when the queue is full or closed.
+        """Queue a payload; return false if the queue is full or closed.
 
-        Guards against a slow peer: it shows as a queue that grows until the
-        memory is gone. The queue is bounded, and whoever gets ``False`` must
-        close the connection, since a lost message in the middle would break
-        the order that is promised.
+        The queue is bounded so that a slow peer cannot exhaust the memory.
+        On ``False`` the caller must close the connection: messages are
+        delivered in order without gaps.
         """
         if self.closed:
             return False
         if self.queued_bytes + len(payload) > MAX_QUEUE_BYTES:
             return False
-        self.used = self._now()
-        if self.waiting_since is None:
-            self.waiting_since = self.used
-        self._put(payload)
+        self.last_message_at = self._now()
+        if self.unanswered_since is None:
+            self.unanswered_since = self.last_message_at
+        self._enqueue(payload)
         return True
 
     def send_heartbeat(self) -> None:
-        """Ask for a sign of life, once until one comes."""
+        """Send a heartbeat unless one is already unanswered."""
         if not self._heartbeat_sent:
             self._heartbeat_sent = True
-            self._put(HEARTBEAT)
+            self._enqueue(HEARTBEAT)
 
-    def _put(self, payload: bytes) -> None:
+    def _enqueue(self, payload: bytes) -> None:
         self._queue.append(payload)
         self._queued_bytes += len(payload)
         if not self._flushing:
-            # Wait for the end of this turn of the loop, so that all that is
-            # sent in it goes out in one write.
+            # Payloads sent in one iteration of the loop share one write.
             self._flushing = True
             asyncio.get_running_loop().call_soon(self._flush)
 
@@ -245,27 +244,27 @@
         self._queue.clear()
         self._queued_bytes = 0
 
-    # The end.
+    # Closing.
 
-    async def say_goodbye(self) -> None:
-        """End the connection in order, so that the peer misses nothing."""
-        self.ended_well = True
+    async def close_gracefully(self) -> None:
+        """Close after the queued payloads and a goodbye have been sent."""
+        self.closed_cleanly = True
         if self.closed or self._transport is None:
             return
-        self._put(GOODBYE)
+        self._enqueue(GOODBYE)
         self._flush()
-        # What is written leaves before the transport closes; a peer that does
-        # not read must not keep us from stopping.
-        self._changed.clear()
+        # The transport flushes its buffer before it closes. The timeout keeps
+        # a peer that does not read from blocking the shutdown.
+        self._state_changed.clear()
         self._transport.close()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(GOODBYE_TIMEOUT_S):
                 while self._failure is None:
-                    await self._changed.wait()
+                    await self._state_changed.wait()
         self.close()
 
     def close(self) -> None:
-        """Close at once."""
+        """Abort the connection; queued payloads are lost."""
         if self.closed:
             return
         self.closed = True
--- a/fescuekeel/components/peers/dialing.py
+++ b/fescuekeel/components/peers/dialing.py
@@ -1,4 +1,4 @@
-"""Open a connection to a peer and learn who is there."""
+"""Open connections to peers and perform the handshake."""
 
 import asyncio
 import ssl
@@ -18,7 +18,7 @@
 
 
 class Dialer:
-    """Connect to addresses, within a bound of time."""
+    """Connect to peers, with a timeout."""
 
     def __init__(
         self,
@@ -33,10 +33,10 @@
     async def dial(
         self, address: str, hello: Hello
     ) -> Result[tuple[Connection, HelloAnswer], Failure]:
-        """Connect, say hello and wait for the answer.
+        """Connect, send the hello and wait for the answer.
 
-        Nothing else is sent before the answer shows who is there: an address
-        may have passed to another instance.
+        The answer identifies the peer before anything else is sent, because
+        the address may now belong to another instance.
         """
         connection = Connection(self._keys, Direction.CONNECTING, self._now)
         try:
@@ -45,7 +45,7 @@
                 await asyncio.get_running_loop().create_connection(
                     lambda: connection, host, port, ssl=self._tls
                 )
-                answer = await self._greet(connection, hello)
+                answer = await self._handshake(connection, hello)
         except (OSError, TimeoutError, ValueError) as error:
             answer = Err(Failure(ErrorKind.PEER_UNREACHABLE, repr(error)))
         if isinstance(answer, Success):
@@ -53,7 +53,7 @@
         connection.close()
         return Err(answer.failure())
 
-    async def _greet(
+    async def _handshake(
         self, connection: Connection, hello: Hello
     ) -> Result[HelloAnswer, Failure]:
         connection.send(encode(Envelope(1, 0, hello)))
@@ -65,6 +65,10 @@
             return Err(decoded.failure())
         body = decoded.unwrap().body
         if not isinstance(body, HelloAnswer):
-            return Err(Failure(ErrorKind.BAD_FRAME, "no answer to the hello"))
-        connection.trust(body.instance)
+            return Err(
+                Failure(
+                    ErrorKind.BAD_FRAME, "expected HelloAnswer as the first message"
+                )
+            )
+        connection.mark_authenticated(body.instance)
         return Success(body)
--- a/fescuekeel/components/peers/frames.py
+++ b/fescuekeel/components/peers/frames.py
@@ -1,4 +1,4 @@
-"""Frames between instances: bounded, signed and in sequence."""
+"""Framing between instances: bounded, signed and sequenced payloads."""
 
 import hmac
 from enum import Enum
@@ -16,7 +16,7 @@
 
 
 class Direction(Enum):
-    """Name the side of a connection that signs."""
+    """Side of a connection that signs a frame."""
 
     CONNECTING = b"c"
     ACCEPTING = b"a"
@@ -28,12 +28,12 @@
 
 
 class FrameWriter:
-    """Sign payloads.
+    """Encode payloads as signed frames.
 
-    A frame is the length of the rest in 4 bytes, an HMAC-SHA256 and the
-    payload. What is signed starts with both sides' nonces, the direction and
-    the frame's number, so that a recorded frame is worth nothing on another
-    connection, in the other direction, or a second time.
+    A frame is a 4-byte length of the rest, an HMAC-SHA256 and the payload.
+    The signature also covers both sides' nonces, the direction and the
+    sequence number, so that a frame cannot be replayed on another connection,
+    in the other direction or a second time.
 
     >>> writer = FrameWriter(b"key", b"nonces", Direction.CONNECTING)
     >>> reader = FrameReader((b"key",), b"nonces", Direction.CONNECTING)
@@ -47,7 +47,7 @@
         self._sequence = 0
 
     def seal(self, payload: bytes) -> bytes:
-        """Return the frame of the next payload."""
+        """Return the frame that carries the next payload."""
         mac = _sign(self._key, self._prefix, self._sequence, payload)
         self._sequence += 1
         length = MAC_BYTES + len(payload)
@@ -55,10 +55,10 @@
 
 
 class FrameReader:
-    """Split what arrives into payloads and check each one's signature.
+    """Decode received bytes into payloads and verify their signatures.
 
-    ``limit`` bounds the length of a payload in bytes; it is checked before
-    the payload is awaited, so that a length alone reserves nothing.
+    A length above ``max_payload_bytes`` is rejected without waiting for the
+    payload.
     """
 
     def __init__(
@@ -66,46 +66,51 @@
         keys: tuple[bytes, ...],
         session: bytes,
         direction: Direction,
-        limit: int = MAX_FRAME_BYTES,
+        max_payload_bytes: int = MAX_FRAME_BYTES,
     ) -> None:
-        self.limit = limit
+        self.max_payload_bytes = max_payload_bytes
         self._keys = keys
         self._prefix = session + direction.value
         self._sequence = 0
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Result[list[bytes], Failure]:
-        """Return the payloads that are complete.
+        """Add received bytes and return the payloads that are complete.
 
         Fails with ``bad_frame`` on a length out of bounds and ``stranger`` on
-        a signature by none of the keys; the connection is of no use then.
+        a signature that matches none of the keys. The reader cannot be used
+        after a failure.
         """
         self._buffer += data
         payloads = []
         start = 0
         while len(self._buffer) - start >= LENGTH_BYTES:
             length = int.from_bytes(self._buffer[start : start + LENGTH_BYTES], "big")
-            if not MAC_BYTES < length <= MAC_BYTES + self.limit:
-                return Err(Failure(ErrorKind.BAD_FRAME, f"length {length}"))
+            if not MAC_BYTES < length <= MAC_BYTES + self.max_payload_bytes:
+                return Err(
+                    Failure(
+                        ErrorKind.BAD_FRAME, f"frame length {length} is out of bounds"
+                    )
+                )
             end = start + LENGTH_BYTES + length
             if len(self._buffer) < end:
                 break
             body = start + LENGTH_BYTES + MAC_BYTES
             mac = bytes(self._buffer[start + LENGTH_BYTES : body])
             payload = bytes(self._buffer[body:end])
-            if not self._check(mac, payload):
+            if not self._verify(mac, payload):
                 return Err(Failure(ErrorKind.STRANGER))
             payloads.append(payload)
             start = end
         del self._buffer[:start]
         return Success(payloads)
 
-    def _check(self, mac: bytes, payload: bytes) -> bool:
+    def _verify(self, mac: bytes, payload: bytes) -> bool:
         for key in self._keys:
             expected = _sign(key, self._prefix, self._sequence, payload)
             if hmac.compare_digest(mac, expected):
                 self._sequence += 1
-                # The peer goes on to sign with the same key.
+                # A peer signs with one key, so that key is tried first.
                 self._keys = (key, *(other for other in self._keys if other != key))
                 return True
         return False
--- a/fescuekeel/components/peers/link.py
+++ b/fescuekeel/components/peers/link.py
@@ -1,4 +1,4 @@
-"""Implement ``PeerLink`` over TCP."""
+"""Implementation of ``PeerLink`` over TCP."""
 
 import asyncio
 import itertools
@@ -13,16 +13,16 @@
 from fescuekeel.components.peers.const import (
     CHECK_PERIOD_S,
     HEARTBEAT_S,
+    HEARTBEAT_TIMEOUT_S,
     IDLE_HEARTBEAT_S,
     IDLE_S,
-    LIFE_SIGN_S,
     MAX_QUEUE_BYTES,
     RETRY_S,
     SEED_PERIOD_S,
 )
 from fescuekeel.components.peers.dialing import Dialer
-from fescuekeel.components.peers.outgoing import Asked, Outgoing
-from fescuekeel.components.peers.questions import Questions
+from fescuekeel.components.peers.outgoing import OutgoingChannel, PendingAnswer
+from fescuekeel.components.peers.questions import IncomingRequests
 from fescuekeel.components.peers.tls import make_client_context, make_server_context
 from fescuekeel.const import PROTOCOL_VERSION
 from fescuekeel.core import Instance
@@ -43,14 +43,15 @@
 
 __all__ = ["Peers"]
 
-MAX_NUMBER = 2**32
+REQUEST_NUMBER_MODULUS = 2**32
 
 
 class Peers:
-    """Hold one connection to each peer that something is sent to.
+    """Manage the connections to and from other instances.
 
-    A peer's questions come in on the connection that the peer opened, and
-    their answers go back on it. Everything else goes out on our own.
+    Messages and requests to a peer are sent on a connection opened by this
+    instance, one per peer. Requests of a peer arrive on the connection that
+    the peer opened and are answered on it.
     """
 
     def __init__(self, instance: Instance) -> None:
@@ -65,100 +66,112 @@
         self._acceptor.on_message = self._handle_incoming
         self._acceptor.on_lost = self._handle_incoming_lost
         self._dialer = Dialer(keys, make_client_context(settings), instance.now)
-        self._outgoing_by_id: dict[str, Outgoing] = {}
+        self._channels_by_id: dict[str, OutgoingChannel] = {}
         self._retry_at_by_id: dict[str, float] = {}
         self._addresses = Addresses(instance)
-        self._questions = Questions(instance.metrics)
-        self._own_asked_by_number: dict[int, Asked] = {}
-        self._ask_numbers = itertools.count(1)
+        self._incoming_requests = IncomingRequests(instance.metrics)
+        self._local_answers_by_number: dict[int, PendingAnswer] = {}
+        self._request_numbers = itertools.count(1)
         self._stopping = False
-        self._heard_by_id: dict[str, float] = {}
+        self._last_received_by_id: dict[str, float] = {}
 
     @property
     def heard_by_id(self) -> Mapping[str, float]:
-        """Return when each peer was last heard, in the instance's seconds."""
-        return self._heard_by_id
+        """Return when the last message of each peer arrived.
+
+        Times are in seconds of the instance's clock.
+        """
+        return self._last_received_by_id
 
     @property
     def address(self) -> str:
-        """Return the address that peers can connect to, once started."""
+        """Return the address that peers connect to, valid once started."""
         return self._settings.advertised_address or self._acceptor.address
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen for peers and start the background tasks."""
         await self._acceptor.listen_at(self._settings.address)
-        self._instance.spawn(self._check_forever(), "peers.check")
-        self._instance.spawn(self._meet_seeds(), "peers.seeds")
+        self._instance.spawn(self._monitor_connections(), "peers.check")
+        self._instance.spawn(self._contact_seeds(), "peers.seeds")
 
     async def stop(self) -> None:
-        """Send what is queued and close every connection."""
+        """Send the queued payloads and close all connections."""
         self._stopping = True
         self._acceptor.stop()
-        links = [item.connection for item in self._outgoing_by_id.values()]
-        connections = [item for item in links if item is not None]
+        outgoing = [item.connection for item in self._channels_by_id.values()]
+        connections = [item for item in outgoing if item is not None]
         connections += self._acceptor.connections
-        await asyncio.gather(*(item.say_goodbye() for item in connections))
-        for outgoing in list(self._outgoing_by_id.values()):
-            outgoing.fail("stopped")
+        await asyncio.gather(*(item.close_gracefully() for item in connections))
+        for channel in list(self._channels_by_id.values()):
+            channel.fail("stopped")
 
-    # What components call.
+    # The interface for other components.
 
     def send(self, instance_id: str, body: WireMessage) -> bool:
-        """Queue a message; return false when the peer is not known."""
+        """Queue a message; return false if it cannot be queued.
+
+        That is the case if the peer's address is unknown, a retry is not yet
+        due or the queue is full.
+        """
         if instance_id == self._instance.id:
             message = PeerMessage(instance_id, 0, body)
             asyncio.get_running_loop().call_soon(self._deliver, message)
             return True
-        outgoing = self._get_outgoing(instance_id)
-        if outgoing is None:
+        channel = self._get_channel(instance_id)
+        if channel is None:
             return False
-        return self._put(outgoing, encode(Envelope(0, 0, body)))
+        return self._send_on(channel, encode(Envelope(0, 0, body)))
 
     def send_all(self, instance_ids: Iterable[str], body: WireMessage) -> None:
-        """Queue a message to several peers; it is encoded once."""
+        """Queue a message to several peers, encoded once.
+
+        Peers that cannot be reached are skipped.
+        """
         payload = encode(Envelope(0, 0, body))
         for id in instance_ids:
-            outgoing = self._get_outgoing(id)
-            if outgoing is not None:
-                self._put(outgoing, payload)
+            channel = self._get_channel(id)
+            if channel is not None:
+                self._send_on(channel, payload)
 
     async def ask(
         self, instance_id: str, body: WireMessage, timeout_s: float
     ) -> Result[WireMessage, Failure]:
-        """Send a question and wait for its answer."""
+        """Send a request and wait for its answer."""
         loop = asyncio.get_running_loop()
-        asked: Asked = loop.create_future()
-        number = next(self._ask_numbers) % MAX_NUMBER or next(self._ask_numbers)
+        pending: PendingAnswer = loop.create_future()
+        number = next(self._request_numbers) % REQUEST_NUMBER_MODULUS or next(
+            self._request_numbers
+        )
         if instance_id == self._instance.id:
-            waiting = self._own_asked_by_number
-            waiting[number] = asked
-            loop.call_soon(self._deliver_own, number, body)
+            pending_by_number = self._local_answers_by_number
+            pending_by_number[number] = pending
+            loop.call_soon(self._deliver_local_request, number, body)
         else:
-            outgoing = self._get_outgoing(instance_id)
-            if outgoing is None:
+            channel = self._get_channel(instance_id)
+            if channel is None:
                 return self._fail_ask("no connection")
-            if outgoing.queued_bytes > MAX_QUEUE_BYTES // 2:
+            if channel.queued_bytes > MAX_QUEUE_BYTES // 2:
                 return self._fail_ask("queue full")
-            waiting = outgoing.asked_by_number
-            waiting[number] = asked
-            self._put(outgoing, encode(Envelope(number, 0, body)))
-        timer = loop.call_later(timeout_s, self._time_out, asked)
+            pending_by_number = channel.pending_answers_by_number
+            pending_by_number[number] = pending
+            self._send_on(channel, encode(Envelope(number, 0, body)))
+        timer = loop.call_later(timeout_s, self._time_out, pending)
         try:
-            return await asked
+            return await pending
         finally:
             timer.cancel()
-            waiting.pop(number, None)
+            pending_by_number.pop(number, None)
 
     def answer(self, question: PeerMessage, body: WireMessage) -> None:
-        """Answer a peer's question; later answers to it are ignored."""
-        place = self._questions.take(question.number)
-        if place is None:
+        """Answer a peer's request; only the first answer is sent."""
+        origin = self._incoming_requests.pop(question.number)
+        if origin is None:
             return
-        connection, number = place
+        connection, number = origin
         if connection is None:
-            asked = self._own_asked_by_number.get(number)
-            if asked is not None:
-                asyncio.get_running_loop().call_soon(_resolve, asked, body)
+            pending = self._local_answers_by_number.get(number)
+            if pending is not None:
+                asyncio.get_running_loop().call_soon(_resolve, pending, body)
             return
         if connection.closed or connection.send(encode(Envelope(0, number, body))):
             return
@@ -169,35 +182,37 @@
         self._instance.metrics.count("peers.ask_failed")
         return Err(Failure(ErrorKind.PEER_UNREACHABLE, detail, Ran.NO))
 
-    def _time_out(self, asked: Asked) -> None:
-        if not asked.done():
+    def _time_out(self, pending: PendingAnswer) -> None:
+        if not pending.done():
             self._instance.metrics.count("peers.ask_timeout")
-            asked.set_result(Err(Failure(ErrorKind.PEER_UNREACHABLE, "timeout")))
+            pending.set_result(Err(Failure(ErrorKind.PEER_UNREACHABLE, "timeout")))
 
     # The connecting side.
 
-    def _put(self, outgoing: Outgoing, payload: bytes) -> bool:
-        if outgoing.put(payload):
+    def _send_on(self, channel: OutgoingChannel, payload: bytes) -> bool:
+        if channel.send(payload):
             return True
-        if outgoing.connection is None or not outgoing.connection.closed:
+        if channel.connection is None or not channel.connection.closed:
             self._instance.metrics.count("peers.lost.slow")
-        self._lose(outgoing, "queue full or closed")
+        self._drop_channel(channel, "queue full or closed")
         return False
 
-    def _get_outgoing(self, peer_id: str, replaces: bool = False) -> Outgoing | None:
-        outgoing = self._outgoing_by_id.get(peer_id)
-        if outgoing is not None:
-            return outgoing
+    def _get_channel(
+        self, peer_id: str, is_replacement: bool = False
+    ) -> OutgoingChannel | None:
+        channel = self._channels_by_id.get(peer_id)
+        if channel is not None:
+            return channel
         now = self._instance.now()
         address = self._addresses.find(peer_id)
         if self._stopping or not address:
             return None
         if now < self._retry_at_by_id.get(peer_id, now):
             return None
-        outgoing = Outgoing(peer_id, replaces, now)
-        self._outgoing_by_id[peer_id] = outgoing
-        self._instance.spawn(self._run_outgoing(outgoing, address), "peers.outgoing")
-        return outgoing
+        channel = OutgoingChannel(peer_id, is_replacement, now)
+        self._channels_by_id[peer_id] = channel
+        self._instance.spawn(self._run_channel(channel, address), "peers.outgoing")
+        return channel
 
     def _make_hello(self) -> Hello:
         return Hello(
@@ -208,143 +223,147 @@
             self.address,
         )
 
-    async def _run_outgoing(self, outgoing: Outgoing, address: str) -> None:
+    async def _run_channel(self, channel: OutgoingChannel, address: str) -> None:
         dialed = await self._dialer.dial(address, self._make_hello())
         if isinstance(dialed, Err):
-            self._lose(outgoing, dialed.failure().detail)
+            self._drop_channel(channel, dialed.failure().detail)
             return
         connection, answer = dialed.unwrap()
-        if answer.instance != outgoing.peer_id:
-            # The address has passed to another instance, which is met here
-            # instead of the one that was looked for.
+        if answer.instance != channel.peer_id:
+            # The address now belongs to another instance; record that one.
             connection.close()
             self._instance.metrics.count("peers.refused.wrong_instance")
-            self._meet(answer, address)
-            self._lose(outgoing, f"{answer.instance} is at the address")
+            self._record_peer(answer, address)
+            self._drop_channel(channel, f"address belongs to {answer.instance}")
             return
-        if self._outgoing_by_id.get(outgoing.peer_id) is not outgoing:
+        if self._channels_by_id.get(channel.peer_id) is not channel:
             connection.close()
             return
         self._instance.metrics.count("peers.connected")
-        self._retry_at_by_id.pop(outgoing.peer_id, None)
-        outgoing.attach(connection)
-        self._meet(answer, address)
-        if outgoing.replaces:
-            self._instance.bus.publish(PeerLost(outgoing.peer_id, reachable=True))
-        connection.listen(
-            lambda payload: self._take_answer(outgoing, payload),
-            lambda failure: self._lose(outgoing, failure.detail),
+        self._retry_at_by_id.pop(channel.peer_id, None)
+        channel.attach(connection)
+        self._record_peer(answer, address)
+        if channel.is_replacement:
+            self._instance.bus.publish(PeerLost(channel.peer_id, reachable=True))
+        connection.set_callbacks(
+            lambda payload: self._handle_answer(channel, payload),
+            lambda failure: self._drop_channel(channel, failure.detail),
         )
 
-    def _take_answer(self, outgoing: Outgoing, payload: bytes) -> None:
+    def _handle_answer(self, channel: OutgoingChannel, payload: bytes) -> None:
         decoded = decode(payload)
         if isinstance(decoded, Err):
             self._instance.metrics.count("peers.refused.bad_frame")
-            self._lose(outgoing, "bad frame")
+            self._drop_channel(channel, "bad frame")
             return
         envelope = decoded.unwrap()
-        self._heard_by_id[outgoing.peer_id] = self._instance.now()
-        asked = outgoing.asked_by_number.get(envelope.answers)
-        if asked is not None:
-            _resolve(asked, envelope.body)
-
-    def _lose(self, outgoing: Outgoing, reason: str) -> None:
-        peer_id = outgoing.peer_id
-        if self._outgoing_by_id.get(peer_id) is not outgoing:
+        self._last_received_by_id[channel.peer_id] = self._instance.now()
+        pending = channel.pending_answers_by_number.get(envelope.answers)
+        if pending is not None:
+            _resolve(pending, envelope.body)
+
+    def _drop_channel(self, channel: OutgoingChannel, reason: str) -> None:
+        peer_id = channel.peer_id
+        if self._channels_by_id.get(peer_id) is not channel:
             return
-        del self._outgoing_by_id[peer_id]
-        connection = outgoing.connection
-        outgoing.fail(reason)
+        del self._channels_by_id[peer_id]
+        connection = channel.connection
+        channel.fail(reason)
         if self._stopping:
             return
         now = self._instance.now()
         log_event("peer_connection_lost", peer=peer_id, reason=reason)
         self._instance.metrics.count("peers.lost.connection")
-        # A lost or silent connection is no dead peer: something between may
-        # have lost track of it. It shows as no bytes, or a reset, while new
-        # connections work. So the loss is told with what a new one finds. One
-        # that fell at once is not tried again in a loop.
-        if connection is not None and now - outgoing.began > RETRY_S:
-            self._get_outgoing(peer_id, replaces=True)
+        # A middlebox may have dropped the connection while the peer is alive,
+        # so a new connection decides whether the peer is reachable. Closing
+        # right after opening counts as unreachable, to avoid a retry loop.
+        if connection is not None and now - channel.created_at > RETRY_S:
+            self._get_channel(peer_id, is_replacement=True)
             return
         self._retry_at_by_id[peer_id] = now + RETRY_S
         loop = asyncio.get_running_loop()
         loop.call_later(RETRY_S * 2, self._retry_at_by_id.pop, peer_id, None)
         self._instance.bus.publish(PeerLost(peer_id, reachable=False))
 
-    async def _check_forever(self) -> None:
+    async def _monitor_connections(self) -> None:
         last = self._instance.now()
         while True:
             await sleep_to_tick(CHECK_PERIOD_S)
             now = self._instance.now()
-            # Guards against our own pause: at wake-up every connection looks
-            # silent, while the bytes wait in the socket's buffer.
-            paused = now - last > 2 * CHECK_PERIOD_S
+            # After a pause of this process all connections look silent while
+            # data may be waiting in the sockets' buffers.
+            was_suspended = now - last > 2 * CHECK_PERIOD_S
             last = now
-            for outgoing in list(self._outgoing_by_id.values()):
-                self._check(outgoing, now, paused)
+            for channel in list(self._channels_by_id.values()):
+                self._check_channel(channel, now, was_suspended)
             self._acceptor.close_idle(now)
-            self._forget_silent(now)
+            self._expire_last_received(now)
 
-    def _forget_silent(self, now: float) -> None:
-        for id, heard in list(self._heard_by_id.items()):
-            if now - heard > IDLE_S:
-                del self._heard_by_id[id]
+    def _expire_last_received(self, now: float) -> None:
+        for id, received_at in list(self._last_received_by_id.items()):
+            if now - received_at > IDLE_S:
+                del self._last_received_by_id[id]
 
-    def _check(self, outgoing: Outgoing, now: float, paused: bool) -> None:
-        connection = outgoing.connection
+    def _check_channel(
+        self, channel: OutgoingChannel, now: float, was_suspended: bool
+    ) -> None:
+        connection = channel.connection
         if connection is None:
             return
-        if paused and connection.waiting_since is not None:
-            connection.waiting_since = now
+        if was_suspended and connection.unanswered_since is not None:
+            connection.unanswered_since = now
             return
-        if connection.waiting_since is None:
-            if now - connection.used > IDLE_S and not outgoing.asked_by_number:
-                del self._outgoing_by_id[outgoing.peer_id]
-                self._instance.spawn(connection.say_goodbye(), "peers.goodbye")
+        if connection.unanswered_since is None:
+            if (
+                now - connection.last_message_at > IDLE_S
+                and not channel.pending_answers_by_number
+            ):
+                del self._channels_by_id[channel.peer_id]
+                self._instance.spawn(connection.close_gracefully(), "peers.goodbye")
             return
-        silent_s = now - connection.waiting_since
-        ask_after_s = HEARTBEAT_S if outgoing.asked_by_number else IDLE_HEARTBEAT_S
-        if silent_s > ask_after_s + LIFE_SIGN_S:
+        unanswered_s = now - connection.unanswered_since
+        heartbeat_after_s = (
+            HEARTBEAT_S if channel.pending_answers_by_number else IDLE_HEARTBEAT_S
+        )
+        if unanswered_s > heartbeat_after_s + HEARTBEAT_TIMEOUT_S:
             self._instance.metrics.count("peers.lost.silent")
-            self._lose(outgoing, "silent")
-        elif silent_s > ask_after_s:
+            self._drop_channel(channel, "silent")
+        elif unanswered_s > heartbeat_after_s:
             connection.send_heartbeat()
 
     @property
-    def _alone(self) -> bool:
+    def _needs_seeds(self) -> bool:
         view = self._instance.bus.latest(MemberView)
         known = len(view.members_by_id) > 1 if view is not None else False
         return self._addresses.empty or not known
 
-    async def _meet_seeds(self) -> None:
-        # Ids are not known at the seeds' addresses, so each is greeted until
-        # some peer is known from whom the rest can be learned; and again once
-        # all known peers are gone, since others may have come meanwhile.
+    async def _contact_seeds(self) -> None:
+        # Seeds are contacted until a peer is known from which the others can
+        # be discovered, and again when no other members are left.
         while True:
-            seeds = self._instance.settings.peers.seeds if self._alone else ()
+            seeds = self._instance.settings.peers.seeds if self._needs_seeds else ()
             for address in seeds:
                 if address == self.address:
                     continue
                 dialed = await self._dialer.dial(address, self._make_hello())
                 if isinstance(dialed, Success):
                     connection, answer = dialed.unwrap()
-                    self._meet(answer, address)
-                    await connection.say_goodbye()
+                    self._record_peer(answer, address)
+                    await connection.close_gracefully()
             await asyncio.sleep(SEED_PERIOD_S)
 
-    def _meet(self, answer: HelloAnswer, address: str) -> None:
-        self._addresses.remember(
+    def _record_peer(self, answer: HelloAnswer, address: str) -> None:
+        self._addresses.add(
             PeerMet(answer.instance, address, answer.data_centre, answer.incarnation)
         )
 
     # The accepting side.
 
     def _accept_hello(self, hello: Hello) -> HelloAnswer:
-        met = PeerMet(
+        peer = PeerMet(
             hello.instance, hello.address, hello.data_centre, hello.incarnation
         )
-        self._addresses.remember(met)
+        self._addresses.add(peer)
         return HelloAnswer(
             self._instance.id,
             self.incarnation,
@@ -353,28 +372,27 @@
         )
 
     def _handle_incoming(self, connection: Connection, envelope: Envelope) -> None:
-        self._heard_by_id[connection.peer_id] = self._instance.now()
+        self._last_received_by_id[connection.peer_id] = self._instance.now()
         number = 0
         if envelope.number:
-            number = self._questions.add(connection, envelope.number)
+            number = self._incoming_requests.add(connection, envelope.number)
         self._deliver(PeerMessage(connection.peer_id, number, envelope.body))
 
     def _handle_incoming_lost(self, connection: Connection) -> None:
-        self._questions.drop(connection)
-        if connection.ended_well or not connection.peer_id:
+        self._incoming_requests.discard_connection(connection)
+        if connection.closed_cleanly or not connection.peer_id:
             return
-        # Guards against answers that are lost with the connection on which
-        # they were under way: our own connection may stand all the while, so
-        # that nothing else would ever tell of the loss.
-        if connection.peer_id in self._outgoing_by_id:
+        # Answers in flight are lost with this connection. The outgoing one
+        # may stay open, so the loss would otherwise go unnoticed.
+        if connection.peer_id in self._channels_by_id:
             self._instance.bus.publish(PeerLost(connection.peer_id, reachable=True))
             return
-        # The peer may have died: see whether it still accepts.
-        self._get_outgoing(connection.peer_id, replaces=True)
+        # The peer may have died: check whether it still accepts connections.
+        self._get_channel(connection.peer_id, is_replacement=True)
 
-    def _deliver_own(self, number: int, body: WireMessage) -> None:
-        question = self._questions.add(None, number)
-        self._deliver(PeerMessage(self._instance.id, question, body))
+    def _deliver_local_request(self, number: int, body: WireMessage) -> None:
+        local_number = self._incoming_requests.add(None, number)
+        self._deliver(PeerMessage(self._instance.id, local_number, body))
 
     def _deliver(self, message: PeerMessage) -> None:
         name = type(message.body).__name__
@@ -388,6 +406,6 @@
             self._instance.metrics.count(f"peers.unhandled.{name}")
 
 
-def _resolve(asked: Asked, body: WireMessage) -> None:
-    if not asked.done():
-        asked.set_result(Success(body))
+def _resolve(pending: PendingAnswer, body: WireMessage) -> None:
+    if not pending.done():
+        pending.set_result(Success(body))
--- a/fescuekeel/components/peers/outgoing.py
+++ b/fescuekeel/components/peers/outgoing.py
@@ -1,4 +1,4 @@
-"""The connecting side's state, from the first message to the loss."""
+"""State of a connection that this instance opens to a peer."""
 
 import asyncio
 
@@ -9,60 +9,60 @@
 from fescuekeel.errors import ErrorKind, Failure, Ran
 from fescuekeel.messages import WireMessage
 
-__all__ = ["Asked", "Outgoing"]
+__all__ = ["OutgoingChannel", "PendingAnswer"]
 
-Asked = asyncio.Future[Result[WireMessage, Failure]]
+PendingAnswer = asyncio.Future[Result[WireMessage, Failure]]
 
 
-class Outgoing:
-    """Hold what waits for one connection to a peer.
+class OutgoingChannel:
+    """Queue payloads until the connection is open and track its requests.
 
-    Questions belong to the connection that they went out on: an answer on a
-    later one is another life's and is not taken for theirs.
+    A request can only be answered on the connection that it was sent on; the
+    peer may have restarted before a later connection.
     """
 
-    def __init__(self, peer_id: str, replaces: bool, now: float) -> None:
+    def __init__(self, peer_id: str, is_replacement: bool, now: float) -> None:
         self.peer_id = peer_id
-        self.replaces = replaces
-        self.began = now
+        self.is_replacement = is_replacement
+        self.created_at = now
         self.connection: Connection | None = None
-        self.asked_by_number: dict[int, Asked] = {}
-        self._waiting: list[bytes] = []
-        self._waiting_bytes = 0
+        self.pending_answers_by_number: dict[int, PendingAnswer] = {}
+        self._queue: list[bytes] = []
+        self._queued_bytes = 0
 
     @property
     def queued_bytes(self) -> int:
-        """Return how many bytes wait for the peer."""
+        """Return the bytes that are not yet sent."""
         if self.connection is None:
-            return self._waiting_bytes
+            return self._queued_bytes
         return self.connection.queued_bytes
 
-    def put(self, payload: bytes) -> bool:
-        """Queue a payload; return false when the peer is too slow."""
+    def send(self, payload: bytes) -> bool:
+        """Queue a payload; return false if the queue is full or closed."""
         if self.connection is not None:
             return self.connection.send(payload)
-        if self._waiting_bytes + len(payload) > MAX_QUEUE_BYTES:
+        if self._queued_bytes + len(payload) > MAX_QUEUE_BYTES:
             return False
-        self._waiting.append(payload)
-        self._waiting_bytes += len(payload)
+        self._queue.append(payload)
+        self._queued_bytes += len(payload)
         return True
 
     def attach(self, connection: Connection) -> None:
-        """Send what has waited for the connection."""
+        """Set the open connection and send the queued payloads on it."""
         self.connection = connection
-        for payload in self._waiting:
+        for payload in self._queue:
             connection.send(payload)
-        self._waiting.clear()
-        self._waiting_bytes = 0
+        self._queue.clear()
+        self._queued_bytes = 0
 
     def fail(self, detail: str) -> None:
-        """Fail each open question and close the connection."""
-        # What still waits for a connection certainly did not reach the peer.
+        """Fail all pending requests and close the connection."""
+        # Without a connection, no request can have reached the peer.
         ran = Ran.NO if self.connection is None else None
         failure = Failure(ErrorKind.PEER_UNREACHABLE, detail, ran)
-        for asked in self.asked_by_number.values():
-            if not asked.done():
-                asked.set_result(Err(failure))
-        self.asked_by_number.clear()
+        for pending in self.pending_answers_by_number.values():
+            if not pending.done():
+                pending.set_result(Err(failure))
+        self.pending_answers_by_number.clear()
         if self.connection is not None:
             self.connection.close()
--- a/fescuekeel/components/peers/tls.py
+++ b/fescuekeel/components/peers/tls.py
@@ -1,4 +1,4 @@
-"""TLS between instances."""
+"""TLS contexts for connections between instances."""
 
 import ssl
 
@@ -10,7 +10,7 @@
 def make_server_context(settings: PeersSettings) -> ssl.SSLContext | None:
     """Return the accepting side's context, or ``None`` without TLS.
 
-    With a CA in the settings, the connecting side has to show a certificate.
+    If a CA is set, the connecting side must present a certificate.
     """
     if not settings.tls_certificate:
         return None
@@ -25,8 +25,8 @@
 def make_client_context(settings: PeersSettings) -> ssl.SSLContext | None:
     """Return the connecting side's context, or ``None`` without TLS.
 
-    Names are not compared, since instances are reached by IP number; who
-    speaks is proved by the signature of each frame.
+    Hostnames are not checked because instances connect by IP address; frame
+    signatures authenticate the peer.
     """
     if not settings.tls_certificate:
         return None
--- a/tests/components/keys/test_component.py
+++ b/tests/components/keys/test_component.py
@@ -9,7 +9,7 @@
 from fescuekeel.core import Instance
 from fescuekeel.errors import ErrorKind, Ran
 from tests.common import make_settings
-from tests.components.peers.test_link import running, tell_addresses, wait_for
+from tests.components.peers.test_link import publish_addresses, running, wait_for
 
 IDS = ("i1", "i2", "i3", "i4")
 
@@ -22,7 +22,7 @@
         for instance, keys in zip(instances, all_keys, strict=True):
             instance.components_by_domain["keys"] = keys
             await keys.start()
-        tell_addresses(*instances)
+        publish_addresses(*instances)
         await wait_for(lambda: all(keys._home.ready for keys in all_keys))
         yield all_keys
 
--- a/tests/components/peers/test_frames.py
+++ b/tests/components/peers/test_frames.py
@@ -1,4 +1,4 @@
-"""Tests of the frames between instances."""
+"""Tests of the framing between instances."""
 
 from fescuekeel.components.peers.frames import Direction, FrameReader, FrameWriter
 from fescuekeel.errors import ErrorKind
@@ -8,7 +8,7 @@
 
 
 def make_reader(*keys, session=SESSION, direction=Direction.CONNECTING):
-    return FrameReader(keys or (KEY,), session, direction, limit=100)
+    return FrameReader(keys or (KEY,), session, direction, max_payload_bytes=100)
 
 
 def make_writer(key=KEY):
@@ -16,7 +16,7 @@
 
 
 class TestFrameReader:
-    def test_payloads_come_out_however_the_bytes_are_cut(self):
+    def test_payloads_are_reassembled_from_single_bytes(self):
         writer = make_writer()
         data = b"".join(writer.seal(text) for text in (b"one", b"two", b"three"))
         reader = make_reader()
@@ -34,10 +34,9 @@
         failure = make_reader().feed(make_writer(OTHER_KEY).seal(b"x")).failure()
         assert failure.kind is ErrorKind.STRANGER
 
-    def test_a_recorded_frame_is_worth_nothing_again(self):
-        # A request would run twice: someone between two instances records a
-        # signed frame and sends it again, on the same connection, on another
-        # one, or back to its sender.
+    def test_a_replayed_frame_is_refused(self):
+        # A replayed frame would run a request twice: on the same connection,
+        # on another one, or reflected to its sender.
         frame = make_writer().seal(b"x")
         reader = make_reader()
         reader.feed(frame)
--- a/tests/components/peers/test_link.py
+++ b/tests/components/peers/test_link.py
@@ -1,4 +1,4 @@
-"""Tests of the link between instances, over real sockets."""
+"""Tests of the connections between instances, over real sockets."""
 
 import asyncio
 import os
@@ -47,7 +47,7 @@
     return Instance(structs.replace(settings, peers=peers))
 
 
-def tell_addresses(*instances, address_by_id=None):
+def publish_addresses(*instances, address_by_id=None):
     entries = {}
     for instance in instances:
         address = (address_by_id or {}).get(
@@ -65,7 +65,7 @@
     for instance in instances:
         instance.components_by_domain["peers"] = Peers(instance)
         await instance.components_by_domain["peers"].start()
-    tell_addresses(*instances)
+    publish_addresses(*instances)
     try:
         yield [instance.components_by_domain["peers"] for instance in instances]
     finally:
@@ -73,11 +73,11 @@
             await instance.stop()
 
 
-def answer_starts(instance, granted=True):
-    """Grant each attempt that an instance is asked for."""
+def grant_starts(instance, granted=True):
+    """Answer each start request of an instance."""
     peers = instance.components_by_domain["peers"]
     instance.bus.subscribe_peer(
-        StartAsk, lambda question: peers.answer(question, StartAnswer(granted))
+        StartAsk, lambda request: peers.answer(request, StartAnswer(granted))
     )
 
 
@@ -87,12 +87,12 @@
             await asyncio.sleep(0.01)
 
 
-class Silence:
-    """Relay connections, and on request lose track of those that are open."""
+class StallingRelay:
+    """Relay connections; a stalled one stays open but forwards nothing."""
 
     def __init__(self, target):
         self.target = target
-        self.silent = []
+        self.connections = []
         self.opened = 0
 
     async def start(self):
@@ -102,8 +102,8 @@
 
     async def serve(self, reader, writer):
         self.opened += 1
-        state = {"silent": False}
-        self.silent.append(state)
+        state = {"stalled": False}
+        self.connections.append(state)
         host, port = self.target.rsplit(":", 1)
         other_reader, other_writer = await asyncio.open_connection(host, int(port))
         await asyncio.gather(
@@ -113,9 +113,9 @@
 
     async def copy(self, reader, writer, state):
         while data := await reader.read(65536):
-            if not state["silent"]:
+            if not state["stalled"]:
                 writer.write(data)
-        if not state["silent"]:
+        if not state["stalled"]:
             writer.close()
 
 
@@ -126,7 +126,7 @@
             async with running(one, two) as (link, _):
                 seen = []
                 two.bus.subscribe_peer(WorkChunk, lambda m: seen.append(m.body))
-                answer_starts(two)
+                grant_starts(two)
                 chunks = [WorkChunk("r", 1, n, b"x" * n) for n in range(200)]
                 for chunk in chunks:
                     assert link.send("i2", chunk)
@@ -137,59 +137,59 @@
 
         asyncio.run(run())
 
-    def test_a_lost_incoming_connection_is_told_although_our_own_stands(self):
-        """An answer is lost and its caller waits until its time is over.
+    def test_a_lost_incoming_connection_is_published_while_ours_is_open(self):
+        """An answer in flight is lost and its caller waits for the timeout.
 
-        Two instances have a connection to each other. The one on which the
-        answer is under way breaks; nothing happens on the other one.
+        Each instance has a connection to the other; only the one that carries
+        the answer breaks.
         """
 
         async def run():
             one, two = make_instance("i1"), make_instance("i2")
             async with running(one, two) as (link, other):
-                answer_starts(one)
-                answer_starts(two)
+                grant_starts(one)
+                grant_starts(two)
                 await link.ask("i2", StartAsk("r", 1), 5)
                 await other.ask("i1", StartAsk("r", 1), 5)
                 lost = []
                 one.bus.subscribe(PeerLost, lost.append)
-                other._outgoing_by_id["i1"].connection.close()
+                other._channels_by_id["i1"].connection.close()
                 await wait_for(lambda: lost)
                 assert lost[0] == PeerLost("i2", reachable=True)
 
         asyncio.run(run())
 
-    def test_one_reaches_oneself_without_sockets(self):
+    def test_messages_to_the_own_instance_use_no_socket(self):
         async def run():
             one = make_instance("i1")
             async with running(one) as (link,):
-                answer_starts(one)
+                grant_starts(one)
                 answer = await link.ask("i1", StartAsk("r", 1), 5)
                 assert answer.unwrap() == StartAnswer(True)
                 assert "peers.connected" not in one.metrics.counters_by_name
 
         asyncio.run(run())
 
-    def test_a_seed_is_met_without_a_live_list(self):
+    def test_a_seed_is_contacted_without_a_live_list(self):
         async def run():
             one = make_instance("i1")
             async with running(one) as (first,):
                 two = make_instance("i2", seeds=(first.address,))
                 async with running(two) as (second,):
                     two.bus.publish_state(LiveList())
-                    answer_starts(one)
+                    grant_starts(one)
                     await wait_for(lambda: second.send("i1", Ping()))
                     answer = await second.ask("i1", StartAsk("r", 1), 5)
                     assert is_successful(answer)
 
         asyncio.run(run())
 
-    def test_they_talk_over_tls_and_to_nobody_without(self):
+    def test_peers_with_tls_refuse_plaintext_connections(self):
         async def run():
             one, two = (make_instance(id, tls=True) for id in ("i1", "i2"))
             plain = make_instance("i3")
             async with running(one, two, plain) as (link, _, plain_link):
-                answer_starts(two)
+                grant_starts(two)
                 answer = await link.ask("i2", StartAsk("r", 1), 5)
                 assert answer.unwrap() == StartAnswer(True)
                 refused = await plain_link.ask("i2", StartAsk("r", 1), 5)
@@ -210,46 +210,47 @@
 
 
 class TestLostConnections:
-    def test_questions_fail_at_once_when_the_peer_dies(self):
-        # A caller would wait for its whole answer time: the owner is killed
-        # while a question to it is open, and nobody tells the entry.
+    def test_requests_fail_at_once_when_the_peer_dies(self):
+        # Otherwise a caller would wait for its full timeout after the owner
+        # is killed while a request to it is pending.
         async def run():
             one, two = make_instance("i1"), make_instance("i2")
             lost = []
             one.bus.subscribe(PeerLost, lost.append)
             async with running(one) as (link,):
                 async with running(two):
-                    tell_addresses(one, two)
-                    two.bus.subscribe_peer(StartAsk, lambda question: None)
-                    asked = asyncio.ensure_future(link.ask("i2", StartAsk("r", 1), 600))
+                    publish_addresses(one, two)
+                    two.bus.subscribe_peer(StartAsk, lambda request: None)
+                    pending = asyncio.ensure_future(
+                        link.ask("i2", StartAsk("r", 1), 600)
+                    )
                     await wait_for(lambda: one.metrics.counters_by_name)
                     await asyncio.sleep(2 * link_module.RETRY_S)
                 async with asyncio.timeout(30):
-                    failure = (await asked).failure()
+                    failure = (await pending).failure()
                 assert failure.kind is ErrorKind.PEER_UNREACHABLE
                 assert failure.ran is None
                 await wait_for(lambda: PeerLost("i2", reachable=False) in lost)
 
         asyncio.run(run())
 
-    def test_a_silent_connection_is_replaced_before_the_peer_is_given_up(self):
-        # Requests would fail for minutes although the peer is well: something
-        # between the two has lost track of the open connection, and neither
-        # a reset nor a byte comes, while new connections work.
+    def test_a_stalled_connection_is_replaced_while_the_peer_is_reachable(self):
+        # A middlebox drops the open connection without a reset while new ones
+        # work: requests would fail for minutes although the peer is healthy.
         async def run():
             one, two = make_instance("i1"), make_instance("i2")
             lost = []
             one.bus.subscribe(PeerLost, lost.append)
             async with running(one, two) as (link, other):
-                relay = Silence(other.address)
+                relay = StallingRelay(other.address)
                 address = await relay.start()
-                tell_addresses(one, address_by_id={"i1": address})
+                publish_addresses(one, address_by_id={"i1": address})
                 one.bus.publish_state(
                     LiveList({"i2": LiveEntry("i2", LiveRole.INSTANCE, address, "", 1)})
                 )
-                answer_starts(two)
+                grant_starts(two)
                 assert is_successful(await link.ask("i2", StartAsk("r", 1), 5))
-                relay.silent[0]["silent"] = True
+                relay.connections[0]["stalled"] = True
                 failure = (await link.ask("i2", StartAsk("r", 2), 60)).failure()
                 assert failure.detail == "silent"
                 await wait_for(lambda: lost == [PeerLost("i2", reachable=True)])
@@ -259,13 +260,12 @@
 
         asyncio.run(run())
 
-    def test_a_slow_peer_does_not_grow_the_memory(self, monkeypatch):
-        # The daemon would be killed for its memory: a peer stops to read its
-        # connection, and all that is sent to it piles up here.
+    def test_the_queue_to_a_slow_peer_is_bounded(self, monkeypatch):
+        # A peer that stops reading would make the daemon run out of memory.
         async def run():
             one, two = make_instance("i1"), make_instance("i2")
             async with running(one, two) as (link, _):
-                answer_starts(two)
+                grant_starts(two)
                 await link.ask("i2", StartAsk("r", 1), 5)
                 monkeypatch.setattr(
                     "fescuekeel.components.peers.connection.MAX_QUEUE_BYTES", 10_000
@@ -278,7 +278,7 @@
         asyncio.run(run())
 
 
-class TestStrangers:
+class TestRefusedConnections:
     @pytest.mark.parametrize(
         ("version", "key", "junk", "reason"),
         [
@@ -287,16 +287,13 @@
             (1, KEY.encode(), b"\xff" * 8, "bad_frame"),
         ],
     )
-    def test_they_are_refused_and_nothing_else_is_harmed(
-        self, version, key, junk, reason
-    ):
-        # Someone who can reach the port sends a frame of the right form but
-        # without the key, of another version, or with damage after a hello.
-        # Only that connection ends; the peers go on to talk.
+    def test_only_the_invalid_connection_is_closed(self, version, key, junk, reason):
+        # A client sends a well-formed frame signed with another key, another
+        # protocol version, or invalid data after its hello.
         async def run():
             one, two = make_instance("i1"), make_instance("i2")
             async with running(one, two) as (link, other):
-                answer_starts(two)
+                grant_starts(two)
                 host, port = other.address.split(":")
                 reader, writer = await asyncio.open_connection(host, int(port))
                 own, nonce = b"n" * 16, await reader.readexactly(16)
@@ -315,14 +312,14 @@
 
         asyncio.run(run())
 
-    def test_a_key_is_changed_without_a_stop(self):
-        # Operators change the key on one instance after the other. Each pair
-        # of neighbours in this order has to understand the other's frames.
+    def test_keys_are_rotated_without_downtime(self):
+        # Keys are rotated on one instance after the other, so consecutive
+        # steps of the rotation must be compatible.
         async def run(one_keys, two_keys):
             one, two = make_instance("i1", one_keys), make_instance("i2", two_keys)
             async with running(one, two) as (link, other):
-                answer_starts(one)
-                answer_starts(two)
+                grant_starts(one)
+                grant_starts(two)
                 results = [
                     await link.ask("i2", StartAsk("r", 1), 5),
                     await other.ask("i1", StartAsk("r", 1), 5),
@@ -336,7 +333,7 @@
 
 
 class TestConnection:
-    def test_what_is_sent_in_one_turn_goes_out_in_one_write(self):
+    def test_payloads_sent_in_one_loop_iteration_share_a_write(self):
         class Transport(asyncio.Transport):
             def __init__(self):
                 self.writes = []
--- a/tests/fuzz/network.py
+++ b/tests/fuzz/network.py
@@ -11,9 +11,9 @@
 
 from fescuekeel.components.peers.const import (
     CONNECT_TIMEOUT_S,
+    HEARTBEAT_TIMEOUT_S,
     HELLO_TIMEOUT_S,
     IDLE_HEARTBEAT_S,
-    LIFE_SIGN_S,
     RETRY_S,
 )
 from fescuekeel.errors import ErrorKind, Failure, Ran
@@ -22,7 +22,7 @@
 __all__ = ["Link"]
 
 # When the longest silence of a connection shows: one without a question.
-SILENT_S = IDLE_HEARTBEAT_S + LIFE_SIGN_S
+SILENT_S = IDLE_HEARTBEAT_S + HEARTBEAT_TIMEOUT_S
 UNREACHABLE = Err(Failure(ErrorKind.PEER_UNREACHABLE))
 UNSENT = Err(Failure(ErrorKind.PEER_UNREACHABLE, ran=Ran.NO))
 
