--- a/fescuekeel/components/livelist/__init__.py
+++ b/fescuekeel/components/livelist/__init__.py
@@ -1,4 +1,4 @@
-"""The livelist component: reads the platform's list of live instances."""
+"""The livelist component: polls the platform's list of live members."""
 
 from fescuekeel.components.livelist.const import DOMAIN
 from fescuekeel.components.livelist.poller import LiveListPoller
@@ -8,7 +8,7 @@
 
 
 def setup(instance: Instance) -> Component:
-    """Set up the poller."""
+    """Create the component of an instance."""
     return LiveListPoller(instance)
 
 
--- a/fescuekeel/components/livelist/parse.py
+++ b/fescuekeel/components/livelist/parse.py
@@ -1,4 +1,4 @@
-"""Validation of the platform's live list."""
+"""Parsing and validation of the platform's live list."""
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 from returns.result import Failure as Err, Result, Success
@@ -13,7 +13,7 @@
 
 
 class EntryModel(BaseModel):
-    """Validate one entry; what the platform adds later is ignored."""
+    """One entry of the list; unknown fields are ignored."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -27,15 +27,16 @@
 
 
 class LiveListModel(BaseModel):
-    """Validate the whole list."""
+    """The whole list."""
 
     entries: list[EntryModel]
 
 
 def parse_live_list(body: bytes) -> Result[LiveList, Failure]:
-    """Parse the list; one wrong entry makes the whole list wrong.
+    """Parse and validate the list; an invalid entry invalidates the list.
 
-    Of two entries with one id the higher incarnation counts.
+    Of several entries with the same id, the one with the highest incarnation
+    is kept.
 
     >>> parse_live_list(b'{"entries": []}').unwrap()
     LiveList(entries_by_id={})
--- a/fescuekeel/components/livelist/poller.py
+++ b/fescuekeel/components/livelist/poller.py
@@ -1,4 +1,4 @@
-"""The task that polls the platform's live list."""
+"""Poller of the platform's live list."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from fescuekeel.components.livelist.const import (
     CONNECT_TIMEOUT_S,
     DOMAIN,
-    JITTER_SHARE,
+    JITTER_FRACTION,
     LIVE_PATH,
     MAX_LIST_BYTES,
     POLL_S,
@@ -31,13 +31,13 @@
 
 
 class LiveListPoller:
-    """Publish ``LiveList`` each time that the platform's list changes.
+    """Poll the platform's list and publish ``LiveList`` when it changes.
 
-    Polls are conditional, so that a list which has not changed is neither
-    sent nor parsed again. A platform that knows no ETag sends it each time.
+    Requests are conditional, so that an unchanged list is neither sent nor
+    parsed again if the platform supports ETags.
 
-    A failure keeps the last list: the platform being out of reach says
-    nothing about which instances are alive.
+    The last list is kept on failure: an unreachable platform does not mean
+    that the members in the list are down.
     """
 
     def __init__(self, instance: Instance, poll_s: float = POLL_S) -> None:
@@ -49,9 +49,9 @@
         self._etag = ""
 
     async def start(self) -> None:
-        """Start to poll."""
-        # The plain client has ten slots for all of a loop's users and queues
-        # the rest without a word, so that this task has one of its own.
+        """Start polling."""
+        # The shared client of an event loop queues requests beyond ten, so the
+        # poller uses a client of its own.
         self._client = SimpleAsyncHTTPClient(
             force_instance=True, max_clients=2, max_body_size=MAX_LIST_BYTES
         )
@@ -67,8 +67,8 @@
 
     async def _run(self) -> None:
         while True:
-            self._take(await self._fetch())
-            jitter = random.uniform(-JITTER_SHARE, JITTER_SHARE)
+            self._handle_result(await self._fetch())
+            jitter = random.uniform(-JITTER_FRACTION, JITTER_FRACTION)
             await asyncio.sleep(self._poll_s * (1 + jitter))
 
     async def _fetch(self) -> Result[LiveList, Failure]:
@@ -83,8 +83,7 @@
         try:
             response = await begin_fetch(self._client, request, raise_error=False)
         except Exception as error:
-            # Besides its own errors the client passes on those of sockets
-            # and of name look-ups; all mean that there is no news.
+            # Errors of sockets and of name resolution are raised unchanged.
             return Err(Failure(ErrorKind.PEER_UNREACHABLE, repr(error)))
         known = self._instance.bus.latest(LiveList)
         if response.code == NOT_MODIFIED and known is not None:
@@ -92,11 +91,11 @@
         if response.code != OK:
             return Err(Failure(ErrorKind.PEER_UNREACHABLE, f"status {response.code}"))
         result = parse_live_list(response.body)
-        # What could not be parsed must be sent again.
+        # A list that failed to parse must be sent in full again.
         self._etag = response.headers.get("ETag", "") if is_successful(result) else ""
         return result
 
-    def _take(self, result: Result[LiveList, Failure]) -> None:
+    def _handle_result(self, result: Result[LiveList, Failure]) -> None:
         if not is_successful(result):
             self._instance.metrics.count("livelist.failed")
             if not self._failing:
--- a/fescuekeel/components/metrics/__init__.py
+++ b/fescuekeel/components/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""The metrics component: counters and histograms for scrapers."""
+"""The metrics component: serves metrics over HTTP."""
 
 from fescuekeel.components.metrics.server import DOMAIN, MetricsServer
 from fescuekeel.core import REGISTRY, Instance
@@ -7,7 +7,7 @@
 
 
 def setup(instance: Instance) -> MetricsServer:
-    """Create the component."""
+    """Create the component of an instance."""
     return MetricsServer(instance)
 
 
--- a/fescuekeel/components/metrics/server.py
+++ b/fescuekeel/components/metrics/server.py
@@ -1,4 +1,4 @@
-"""Serve counters and histograms as text that usual scrapers read."""
+"""HTTP server of metrics in the Prometheus text exposition format."""
 
 import re
 from collections.abc import Iterable
@@ -14,37 +14,38 @@
 CONTENT_TYPE: Final = "text/plain; version=0.0.4"
 QUANTILES: Final = (50.0, 90.0, 99.0, 99.9)
 US_PER_S: Final = 1_000_000
-ILLEGAL = re.compile(r"[^a-zA-Z0-9_]")
+INVALID_CHARACTER = re.compile(r"[^a-zA-Z0-9_]")
 
 
 def format_metrics(metrics: Metrics) -> str:
-    r"""Return all metrics, a line each, in the text exposition format.
+    r"""Return all metrics in the text exposition format.
 
-    The name of a counter or a histogram is its first part; what follows is the
-    label ``kind``, which holds only members of closed or bounded lists.
+    The part of a counter's or histogram's name before the first dot becomes
+    the name of the metric, the rest the label ``kind``. The values of ``kind``
+    must come from a bounded set.
 
     >>> metrics = Metrics()
     >>> metrics.count("refused.queue_full")
     >>> format_metrics(metrics)
     'fescuekeel_refused_total{kind="queue_full"} 1\n'
     """
-    lines = list(_list_counters(metrics))
-    lines += _list_gauges(metrics)
-    lines += _list_histograms(metrics)
+    lines = list(_format_counters(metrics))
+    lines += _format_gauges(metrics)
+    lines += _format_histograms(metrics)
     return "\n".join(lines) + "\n"
 
 
-def _list_gauges(metrics: Metrics) -> Iterable[str]:
+def _format_gauges(metrics: Metrics) -> Iterable[str]:
     for name, read in sorted(metrics.gauges_by_name.items()):
         for kind, value in sorted(read().items()):
             label = f'{{kind="{kind}"}}' if kind else ""
-            yield f"fescuekeel_{ILLEGAL.sub('_', name)}{label} {value:g}"
+            yield f"fescuekeel_{INVALID_CHARACTER.sub('_', name)}{label} {value:g}"
 
 
-def _list_histograms(metrics: Metrics) -> Iterable[str]:
+def _format_histograms(metrics: Metrics) -> Iterable[str]:
     for name, histogram in sorted(metrics.histograms_by_name.items()):
-        first, _, kind = name.partition(".")
-        base = f"fescuekeel_{ILLEGAL.sub('_', first)}_seconds"
+        metric_name, _, kind = name.partition(".")
+        base = f"fescuekeel_{INVALID_CHARACTER.sub('_', metric_name)}_seconds"
         label = f'kind="{kind}"' if kind else ""
         for quantile in QUANTILES:
             value = histogram.get_value_at_percentile(quantile) / US_PER_S
@@ -54,15 +55,15 @@
         yield f"{base}_count{count_label} {histogram.get_total_count()}"
 
 
-def _list_counters(metrics: Metrics) -> Iterable[str]:
+def _format_counters(metrics: Metrics) -> Iterable[str]:
     for name, value in sorted(metrics.counters_by_name.items()):
         base, _, kind = name.partition(".")
         label = f'{{kind="{kind}"}}' if kind else ""
-        yield f"fescuekeel_{ILLEGAL.sub('_', base)}_total{label} {value}"
+        yield f"fescuekeel_{INVALID_CHARACTER.sub('_', base)}_total{label} {value}"
 
 
 class MetricsServer:
-    """Own the metrics socket, if the settings name an address."""
+    """Serve the metrics page if the settings contain an address for it."""
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
@@ -70,17 +71,17 @@
 
     @property
     def address(self) -> str:
-        """Return where the metrics are served, empty if nowhere."""
+        """Return the bound address, empty if the page is not served."""
         return self._server.address
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening if an address is configured."""
         address = self._instance.settings.forwarding.metrics_address
         if address:
             self._server.start(address)
 
     async def stop(self) -> None:
-        """Close."""
+        """Stop the server."""
         await self._server.stop()
 
     def _make_page(self) -> Page:
--- a/tests/components/livelist/test_poller.py
+++ b/tests/components/livelist/test_poller.py
@@ -29,11 +29,11 @@
         "change",
         [{"role": "other"}, {"address": "name:80"}, {"incarnation": -1}, {"id": ""}],
     )
-    def test_a_wrong_entry_is_refused(self, change):
+    def test_an_invalid_entry_is_rejected(self, change):
         body = json.dumps({"entries": [ENTRY | change]}).encode()
         assert "entries.0" in parse_live_list(body).failure().detail
 
-    def test_the_higher_incarnation_counts(self):
+    def test_the_highest_incarnation_is_kept(self):
         entries = [ENTRY | {"incarnation": 2}, ENTRY]
         body = json.dumps({"entries": entries}).encode()
         assert parse_live_list(body).unwrap().entries_by_id["e1"].incarnation == 2
@@ -41,41 +41,38 @@
 
 class TestPoller:
     def test_a_failure_keeps_the_last_list(self):
-        """The platform's list answers once, then breaks, then redirects.
+        """The platform sends a list, then invalid JSON, then redirects.
 
-        Callers would see all endpoints vanish if a failure emptied the list.
+        All endpoints would disappear if a failure emptied the list.
         """
         answers = [(200, json.dumps({"entries": [ENTRY]})), (200, "{"), (302, "")]
         calls = []
-        enough = asyncio.Event()
+        finished = asyncio.Event()
 
-        class Live(RequestHandler):
+        class LiveHandler(RequestHandler):
             def get(self):
                 status, body = answers[min(len(calls), len(answers) - 1)]
                 calls.append(self.request.path)
                 if len(calls) >= 5:
-                    enough.set()
+                    finished.set()
                 self.set_status(status)
                 if status == 302:
                     self.set_header("Location", "/elsewhere")
                 self.write(body)
 
-        published, instance = asyncio.run(poll_until(Live, enough))
+        published, instance = asyncio.run(poll_until(LiveHandler, finished))
         assert [list(live.entries_by_id) for live in published] == [["e1"]]
         assert instance.bus.latest(LiveList) is published[0]
         assert instance.metrics.counters_by_name["livelist.failed"] >= 2
         assert set(calls) == {"/v1/live"}
 
-    def test_a_list_that_has_not_changed_is_not_sent_again(self):
-        """A list of thousands of rows is polled by hundreds of instances.
-
-        Sent whole each second it would cost each of them 186 KB a second.
-        """
+    def test_an_unchanged_list_is_not_sent_again(self):
+        """A large list polled by many instances would waste bandwidth."""
         body = {"entries": [ENTRY]}
         statuses = []
-        enough = asyncio.Event()
+        finished = asyncio.Event()
 
-        class Live(RequestHandler):
+        class LiveHandler(RequestHandler):
             def get(self):
                 if len(statuses) == 3:
                     body["entries"] = [ENTRY | {"id": "e2"}]
@@ -84,15 +81,15 @@
             def on_finish(self):
                 statuses.append(self.get_status())
                 if len(statuses) == 6:
-                    enough.set()
+                    finished.set()
 
-        published, _ = asyncio.run(poll_until(Live, enough))
+        published, _ = asyncio.run(poll_until(LiveHandler, finished))
         assert statuses[:6] == [200, 304, 304, 200, 304, 304]
         assert [list(live.entries_by_id) for live in published] == [["e1"], ["e2"]]
 
 
-async def poll_until(handler, enough):
-    """Poll a platform until it is told that this is enough."""
+async def poll_until(handler, finished):
+    """Poll a platform until the event is set; return what was published."""
     server = HTTPServer(Application([("/.*", handler)]))
     sock, port = bind_unused_port()
     server.add_socket(sock)
@@ -103,7 +100,7 @@
     instance.bus.subscribe(LiveList, published.append)
     poller = LiveListPoller(instance, poll_s=0.01)
     await poller.start()
-    await asyncio.wait_for(enough.wait(), timeout=10)
+    await asyncio.wait_for(finished.wait(), timeout=10)
     await poller.stop()
     server.stop()
     await server.close_all_connections()
