--- a/fescuekeel/components/peers/link.py
+++ b/fescuekeel/components/peers/link.py
@@ -21,8 +21,8 @@
     SEED_PERIOD_S,
 )
 from fescuekeel.components.peers.dialing import Dialer
+from fescuekeel.components.peers.incoming_requests import IncomingRequests
 from fescuekeel.components.peers.outgoing import OutgoingChannel, PendingAnswer
-from fescuekeel.components.peers.questions import IncomingRequests
 from fescuekeel.components.peers.tls import make_client_context, make_server_context
 from fescuekeel.const import PROTOCOL_VERSION
 from fescuekeel.core import Instance
