--- a/tests/components/placement/test_places.py
+++ b/tests/components/placement/test_places.py
@@ -1,11 +1,11 @@
-"""Tests of which adapters an endpoint holds."""
+"""Tests of the adapters that an endpoint holds."""
 
 import hypothesis.strategies as st
 from hypothesis import given, settings
 
 from fescuekeel.components.placement.const import GRANT_TTL_S, MAX_PENDING
-from fescuekeel.components.placement.model import Ask, AskEnded, GiveOrder
-from fescuekeel.components.placement.places import EndpointPlaces
+from fescuekeel.components.placement.model import LoadRequest, LoadResult, SendOrder
+from fescuekeel.components.placement.places import AdapterScheduler
 from fescuekeel.helpers.dialect import EndpointReport, OrderKind, OrderReply
 from fescuekeel.helpers.published import Weights
 
@@ -23,249 +23,242 @@
     )
 
 
-def make_places(places=3, held=()):
-    known = EndpointPlaces(places, "m")
-    known.note_report(make_report(held), asked=0.0, now=0.0)
-    return known
+def make_scheduler(capacity=3, held=()):
+    scheduler = AdapterScheduler(capacity, "m")
+    scheduler.note_report(make_report(held), requested_at=0.0, now=0.0)
+    return scheduler
 
 
-def make_ask(number, weights, priority=1, spread=False, since=0.0, on_time_s=5.0):
+def make_request(
+    number, weights, priority=1, is_replica=False, since=0.0, on_time_s=5.0
+):
     on_time_until = since + on_time_s
-    return Ask(number, weights, 0, priority, spread, since, on_time_until, since + 9.0)
+    return LoadRequest(
+        number, weights, 0, priority, is_replica, since, on_time_until, since + 9.0
+    )
 
 
-def take(effects, kind=GiveOrder):
+def select(effects, kind=SendOrder):
     return [effect for effect in effects if isinstance(effect, kind)]
 
 
 class TestLoading:
-    def test_ask_is_answered_once_the_endpoint_holds_it(self):
-        places = make_places()
-        places.ask(make_ask(1, adapter(1)))
-        (order,) = take(places.step({}, 1.0))
-        places.note_reply(order, OrderReply.ACCEPTED, 1.0)
-        assert take(places.step({}, 1.1), AskEnded) == []
-        (again,) = take(places.step({}, 1.3))
-        assert again.again
-        places.note_reply(again, OrderReply.HOLDS_ALREADY, 1.3)
-        (ended,) = take(places.step({}, 1.3), AskEnded)
+    def test_request_ends_once_the_endpoint_holds_the_adapter(self):
+        scheduler = make_scheduler()
+        scheduler.add_request(make_request(1, adapter(1)))
+        (order,) = select(scheduler.step({}, 1.0))
+        scheduler.note_reply(order, OrderReply.ACCEPTED, 1.0)
+        assert select(scheduler.step({}, 1.1), LoadResult) == []
+        (again,) = select(scheduler.step({}, 1.3))
+        assert again.is_repeat
+        scheduler.note_reply(again, OrderReply.HOLDS_ALREADY, 1.3)
+        (ended,) = select(scheduler.step({}, 1.3), LoadResult)
         assert ended.loaded
 
     def test_nothing_is_ordered_before_the_first_report(self):
-        places = EndpointPlaces(3, "m")
-        places.ask(make_ask(1, adapter(1)))
-        assert places.step({}, 1.0) == []
+        scheduler = AdapterScheduler(3, "m")
+        scheduler.add_request(make_request(1, adapter(1)))
+        assert scheduler.step({}, 1.0) == []
 
     def test_empty_endpoint_gets_its_model_first(self):
-        places = EndpointPlaces(3, "m")
-        places.note_report(
-            EndpointReport({}, frozenset(), False, 0, 0, 0, 0), asked=0.0, now=0.0
+        scheduler = AdapterScheduler(3, "m")
+        scheduler.note_report(
+            EndpointReport({}, frozenset(), False, 0, 0, 0, 0),
+            requested_at=0.0,
+            now=0.0,
         )
-        places.ask(make_ask(1, adapter(1)))
-        (order,) = take(places.step({}, 1.0))
+        scheduler.add_request(make_request(1, adapter(1)))
+        (order,) = select(scheduler.step({}, 1.0))
         assert order.weights == MODEL
-        assert take(places.step({}, 1.1)) == []
+        assert select(scheduler.step({}, 1.1)) == []
 
-    def test_urgent_ask_goes_first(self):
-        places = make_places(places=20)
+    def test_urgent_request_goes_first(self):
+        scheduler = make_scheduler(capacity=20)
         for number in range(MAX_PENDING + 1):
-            places.ask(make_ask(number, adapter(number)))
-        places.ask(make_ask(99, adapter(99), priority=0, since=1.0))
-        orders = take(places.step({}, 1.0))
+            scheduler.add_request(make_request(number, adapter(number)))
+        scheduler.add_request(make_request(99, adapter(99), priority=0, since=1.0))
+        orders = select(scheduler.step({}, 1.0))
         assert orders[0].weights == adapter(99)
         assert len(orders) == MAX_PENDING
 
-    def test_late_ask_does_not_make_others_late(self):
-        places = make_places(places=1)
-        places.ask(make_ask(1, adapter(1), priority=0, on_time_s=0.5))
-        places.ask(make_ask(2, adapter(2), priority=2))
-        (order,) = take(places.step({}, 1.0))
+    def test_late_request_does_not_delay_others(self):
+        scheduler = make_scheduler(capacity=1)
+        scheduler.add_request(make_request(1, adapter(1), priority=0, on_time_s=0.5))
+        scheduler.add_request(make_request(2, adapter(2), priority=2))
+        (order,) = select(scheduler.step({}, 1.0))
         assert order.weights == adapter(2)
 
-    def test_ask_that_nobody_waits_for_ends(self):
-        """Under a burst places went to adapters that nobody waited for.
-
-        The ask for a load outlived the patience of those who had asked for it.
-        """
-        places = make_places(places=1, held=[adapter(1)])
-        places.usage.expect(adapter(1))
-        places.ask(make_ask(1, adapter(2), since=5.0))
-        (ended,) = take(places.step({}, 14.0), AskEnded)
+    def test_expired_request_ends(self):
+        """Guards against loads for requests whose callers have given up."""
+        scheduler = make_scheduler(capacity=1, held=[adapter(1)])
+        scheduler.usage.note_prompt_waiting(adapter(1))
+        scheduler.add_request(make_request(1, adapter(2), since=5.0))
+        (ended,) = select(scheduler.step({}, 14.0), LoadResult)
         assert not ended.loaded
-        assert places.asks_by_number == {}
-
-
-class TestRoom:
-    def test_unanswered_load_keeps_its_place(self):
-        """An engine was ordered to hold more than it has places for.
-
-        The answer to a load was lost with its connection. The load had been
-        taken all the same, and its place was given away.
-        """
-        places = make_places(places=3, held=[adapter(1), adapter(2)])
-        places.ask(make_ask(1, adapter(3), since=5.0))
-        (order,) = take(places.step({}, 5.0))
-        places.note_reply(order, None, 5.0)
-        places.ask(make_ask(2, adapter(4), since=5.0))
-        orders = take(places.step({}, 5.1))
+        assert scheduler.requests_by_number == {}
+
+
+class TestSlots:
+    def test_unanswered_load_keeps_its_slot(self):
+        """Guards against reusing the slot of a load whose reply was lost."""
+        scheduler = make_scheduler(capacity=3, held=[adapter(1), adapter(2)])
+        scheduler.add_request(make_request(1, adapter(3), since=5.0))
+        (order,) = select(scheduler.step({}, 5.0))
+        scheduler.note_reply(order, None, 5.0)
+        scheduler.add_request(make_request(2, adapter(4), since=5.0))
+        orders = select(scheduler.step({}, 5.1))
         loads = [item for item in orders if item.kind is OrderKind.LOAD]
-        assert all(item.again for item in loads)
+        assert all(item.is_repeat for item in loads)
 
-    def test_reload_after_unload_keeps_its_place(self):
-        """An engine was ordered to hold more than it has places for.
+    def test_reload_after_unload_keeps_its_slot(self):
+        """Guards against a report from before an unload.
 
-        An adapter was unloaded and, a moment later, asked for again. A report
-        from before the unload still showed it, so that the load under way
-        looked done; what had been unloaded did not count as held either.
+        It still shows the adapter: a load in progress would look done, and its
+        slot would count as free.
         """
-        places = make_places(places=3, held=[adapter(1), adapter(2), adapter(3)])
-        places.ask(make_ask(9, adapter(9), since=5.0))
-        unloads = take(places.step({}, 5.0))
+        scheduler = make_scheduler(
+            capacity=3, held=[adapter(1), adapter(2), adapter(3)]
+        )
+        scheduler.add_request(make_request(9, adapter(9), since=5.0))
+        unloads = select(scheduler.step({}, 5.0))
         for unload in unloads:
-            places.note_reply(unload, OrderReply.HOLDS_ALREADY, 5.3)
-        gone = unloads[0].weights
-        places.ask(make_ask(1, gone, since=5.3))
-        del places.asks_by_number[9]
-        (load,) = take(places.step({}, 5.3))
-        places.note_reply(load, OrderReply.ACCEPTED, 5.3)
-        taken = places.count_taken()
+            scheduler.note_reply(unload, OrderReply.HOLDS_ALREADY, 5.3)
+        unloaded = unloads[0].weights
+        scheduler.add_request(make_request(1, unloaded, since=5.3))
+        del scheduler.requests_by_number[9]
+        (load,) = select(scheduler.step({}, 5.3))
+        scheduler.note_reply(load, OrderReply.ACCEPTED, 5.3)
+        occupied = scheduler.count_occupied()
         stale = make_report([adapter(1), adapter(2), adapter(3)])
-        places.note_report(stale, asked=5.35, now=5.36)
-        assert places.count_taken() == taken
+        scheduler.note_report(stale, requested_at=5.35, now=5.36)
+        assert scheduler.count_occupied() == occupied
 
     def test_adapter_in_use_is_not_unloaded(self):
-        """No order was taken for four seconds by one engine.
+        """Guards against unloading an adapter under an admitted prompt.
 
-        It had been ordered to unload an adapter in use, waited for the runs
-        and refused all else. A prompt for the adapter had got its turn, and
-        its instance had not told of it yet.
+        The endpoint would refuse other orders until the prompt's stream ends.
         """
-        places = make_places(places=2, held=[adapter(1), adapter(2)])
-        places.usage.expect(adapter(1))
-        places.usage.expect(adapter(2))
-        places.usage.settle(adapter(2), "i1", granted=True, now=5.0)
-        places.ask(make_ask(9, adapter(9), since=5.0))
-        assert take(places.step({}, 5.1)) == []
-        assert places.list_servable().keys() == {MODEL, adapter(1), adapter(2)}
-        places.usage.settle(adapter(1), "i1", granted=True, now=5.2)
+        scheduler = make_scheduler(capacity=2, held=[adapter(1), adapter(2)])
+        scheduler.usage.note_prompt_waiting(adapter(1))
+        scheduler.usage.note_prompt_waiting(adapter(2))
+        scheduler.usage.note_prompt_decided(adapter(2), "i1", granted=True, now=5.0)
+        scheduler.add_request(make_request(9, adapter(9), since=5.0))
+        assert select(scheduler.step({}, 5.1)) == []
+        assert scheduler.list_servable().keys() == {MODEL, adapter(1), adapter(2)}
+        scheduler.usage.note_prompt_decided(adapter(1), "i1", granted=True, now=5.2)
         for number in (1, 2):
-            places.usage.note_use("i1", adapter(number), running=1, begun=1, now=5.3)
-        assert take(places.step({}, 5.3 + GRANT_TTL_S)) == []
-
-    def test_idle_adapter_goes_at_once(self):
-        """A prompt waited for a quarter of a second more than its load took.
-
-        The adapter in its place was idle, and was given notice first.
-        """
-        places = make_places(places=1, held=[adapter(1)])
-        places.ask(make_ask(9, adapter(9), since=5.0))
-        (unload,) = take(places.step({}, 5.0))
+            scheduler.usage.note_use("i1", adapter(number), running=1, begun=1, now=5.3)
+        assert select(scheduler.step({}, 5.3 + GRANT_TTL_S)) == []
+
+    def test_idle_adapter_is_evicted_at_once(self):
+        """Guards against a delay before an idle adapter is evicted."""
+        scheduler = make_scheduler(capacity=1, held=[adapter(1)])
+        scheduler.add_request(make_request(9, adapter(9), since=5.0))
+        (unload,) = select(scheduler.step({}, 5.0))
         assert (unload.kind, unload.weights) == (OrderKind.UNLOAD, adapter(1))
-        places.note_reply(unload, OrderReply.HOLDS_ALREADY, 5.0)
-        (load,) = take(places.step({}, 5.0))
+        scheduler.note_reply(unload, OrderReply.HOLDS_ALREADY, 5.0)
+        (load,) = select(scheduler.step({}, 5.0))
         assert (load.kind, load.weights) == (OrderKind.LOAD, adapter(9))
 
-    def test_two_asks_for_one_adapter_drive_out_one(self):
-        places = make_places(places=2, held=[adapter(1), adapter(2)])
+    def test_two_requests_for_one_adapter_evict_one(self):
+        scheduler = make_scheduler(capacity=2, held=[adapter(1), adapter(2)])
         for number in (8, 9):
-            places.ask(make_ask(number, adapter(9), since=5.0))
-        assert len(take(places.step({}, 5.0))) == 1
+            scheduler.add_request(make_request(number, adapter(9), since=5.0))
+        assert len(select(scheduler.step({}, 5.0))) == 1
 
-    def test_least_wanted_adapter_goes(self):
-        places = make_places(places=3, held=[adapter(n) for n in (1, 2, 3)])
+    def test_adapter_with_least_demand_is_evicted(self):
+        scheduler = make_scheduler(capacity=3, held=[adapter(n) for n in (1, 2, 3)])
         for number in (1, 3):
-            places.usage.note_use("i1", adapter(number), running=0, begun=5, now=4.0)
-        places.ask(make_ask(9, adapter(9), since=5.0))
-        unloads = take(places.step({}, 5.0))
+            scheduler.usage.note_use("i1", adapter(number), running=0, begun=5, now=4.0)
+        scheduler.add_request(make_request(9, adapter(9), since=5.0))
+        unloads = select(scheduler.step({}, 5.0))
         assert unloads[0].weights == adapter(2)
 
-    def test_copy_does_not_drive_out_what_is_wanted_as_much(self):
-        places = make_places(places=1, held=[adapter(1)])
-        places.usage.note_use("i1", adapter(1), running=0, begun=5, now=4.0)
-        places.usage.note_use("i1", adapter(2), running=0, begun=5, now=4.0)
-        places.ask(make_ask(1, adapter(2), spread=True))
-        assert places._choose_victim(adapter(2), True, 5.0) is None
-        assert places._choose_victim(adapter(2), False, 5.0) == adapter(1)
+    def test_replica_does_not_evict_an_adapter_with_equal_demand(self):
+        scheduler = make_scheduler(capacity=1, held=[adapter(1)])
+        scheduler.usage.note_use("i1", adapter(1), running=0, begun=5, now=4.0)
+        scheduler.usage.note_use("i1", adapter(2), running=0, begun=5, now=4.0)
+        scheduler.add_request(make_request(1, adapter(2), is_replica=True))
+        assert scheduler._choose_victim(adapter(2), True, 5.0) is None
+        assert scheduler._choose_victim(adapter(2), False, 5.0) == adapter(1)
 
 
-class TestRoomNow:
-    """Asks waited for a place while another engine had ten idle ones."""
+class TestLoadNow:
+    """Guards against requests that wait here while another engine is idle."""
 
-    def test_idle_adapter_makes_room(self):
-        places = make_places(places=1, held=[adapter(1)])
-        assert places.can_load_now(adapter(2), 5.0)
+    def test_idle_adapter_can_be_replaced(self):
+        scheduler = make_scheduler(capacity=1, held=[adapter(1)])
+        assert scheduler.can_load_now(adapter(2), 5.0)
 
-    def test_adapters_in_use_leave_no_room(self):
-        places = make_places(places=1, held=[adapter(1)])
-        places.usage.expect(adapter(1))
-        assert not places.can_load_now(adapter(2), 5.0)
-        assert places.can_load_now(adapter(1), 5.0)
+    def test_adapters_in_use_cannot_be_replaced(self):
+        scheduler = make_scheduler(capacity=1, held=[adapter(1)])
+        scheduler.usage.note_prompt_waiting(adapter(1))
+        assert not scheduler.can_load_now(adapter(2), 5.0)
+        assert scheduler.can_load_now(adapter(1), 5.0)
 
-    def test_those_that_wait_come_first(self):
-        places = make_places(places=2, held=[adapter(1), adapter(2)])
-        places.ask(make_ask(1, adapter(3), since=5.0))
-        assert not places.can_load_now(adapter(4), 5.0)
-        assert places.can_load_now(adapter(3), 5.0)
+    def test_waiting_requests_come_first(self):
+        scheduler = make_scheduler(capacity=2, held=[adapter(1), adapter(2)])
+        scheduler.add_request(make_request(1, adapter(3), since=5.0))
+        assert not scheduler.can_load_now(adapter(4), 5.0)
+        assert scheduler.can_load_now(adapter(3), 5.0)
 
 
 class TestRefusedOrders:
-    def refuse(self, places, now):
+    def refuse(self, scheduler, now):
         """Refuse an order; the report after it shows nothing new."""
-        (order, *_) = take(places.step({}, now))
-        places.note_reply(order, OrderReply.BUSY, now)
-        places.note_report(make_report(held=[adapter(1)]), now, now)
+        (order, *_) = select(scheduler.step({}, now))
+        scheduler.note_reply(order, OrderReply.BUSY, now)
+        scheduler.note_report(make_report(held=[adapter(1)]), now, now)
 
     def test_order_is_not_repeated_at_once(self):
-        """An engine got thirty orders a second, and refused each of them."""
-        places = make_places(places=1, held=[adapter(1)])
-        places.ask(make_ask(1, adapter(2), since=5.0))
-        self.refuse(places, 5.0)
-        assert take(places.step({}, 5.01)) == []
-        given = sum(bool(self.try_once(places, 5.0 + n / 100)) for n in range(2, 102))
+        """Guards against a tight loop of refused orders."""
+        scheduler = make_scheduler(capacity=1, held=[adapter(1)])
+        scheduler.add_request(make_request(1, adapter(2), since=5.0))
+        self.refuse(scheduler, 5.0)
+        assert select(scheduler.step({}, 5.01)) == []
+        given = sum(
+            bool(self.try_once(scheduler, 5.0 + n / 100)) for n in range(2, 102)
+        )
         assert 2 <= given <= 6
 
-    def try_once(self, places, now):
-        orders = take(places.step({}, now))
+    def try_once(self, scheduler, now):
+        orders = select(scheduler.step({}, now))
         for order in orders:
-            places.note_reply(order, OrderReply.BUSY, now)
-        places.note_report(make_report(held=[adapter(1)]), now, now)
+            scheduler.note_reply(order, OrderReply.BUSY, now)
+        scheduler.note_report(make_report(held=[adapter(1)]), now, now)
         return orders
 
-    def test_blocked_endpoint_takes_no_asks(self):
-        places = make_places(places=1, held=[adapter(1)])
-        places.ask(make_ask(1, adapter(2), since=5.0))
-        self.refuse(places, 5.0)
-        assert places.has_room_to_ask(adapter(3), False, 5.1)
-        self.refuse(places, 5.2)
-        assert not places.has_room_to_ask(adapter(3), False, 5.4)
-
-    def test_endpoint_that_was_blocked_takes_asks_again(self):
-        """An engine got no order for eleven seconds.
+    def test_blocked_endpoint_accepts_no_requests(self):
+        scheduler = make_scheduler(capacity=1, held=[adapter(1)])
+        scheduler.add_request(make_request(1, adapter(2), since=5.0))
+        self.refuse(scheduler, 5.0)
+        assert scheduler.accepts_request(adapter(3), False, 5.1)
+        self.refuse(scheduler, 5.2)
+        assert not scheduler.accepts_request(adapter(3), False, 5.4)
 
-        It had refused some, so that asks went elsewhere; and since none came
-        any more, nothing showed that it took orders again.
-        """
-        places = make_places(places=1, held=[adapter(1)])
-        places.ask(make_ask(1, adapter(2), since=5.0))
-        self.refuse(places, 5.0)
-        self.refuse(places, 5.4)
-        assert not places.has_room_to_ask(adapter(3), False, 5.5)
-        assert places.has_room_to_ask(adapter(3), False, 6.0)
+    def test_unblocked_endpoint_accepts_requests_again(self):
+        """Guards against staying blocked for lack of requests."""
+        scheduler = make_scheduler(capacity=1, held=[adapter(1)])
+        scheduler.add_request(make_request(1, adapter(2), since=5.0))
+        self.refuse(scheduler, 5.0)
+        self.refuse(scheduler, 5.4)
+        assert not scheduler.accepts_request(adapter(3), False, 5.5)
+        assert scheduler.accepts_request(adapter(3), False, 6.0)
 
 
 class TestVersions:
-    def test_named_version_replaces_the_one_held(self):
-        places = make_places(held=[adapter(1)])
-        orders = take(places.step({adapter(1): 2}, 5.0))
-        assert orders == [GiveOrder(OrderKind.LOAD, adapter(1), 2)]
-        assert adapter(1) not in places.list_servable()
+    def test_newer_version_replaces_the_held_one(self):
+        scheduler = make_scheduler(held=[adapter(1)])
+        orders = select(scheduler.step({adapter(1): 2}, 5.0))
+        assert orders == [SendOrder(OrderKind.LOAD, adapter(1), 2)]
+        assert adapter(1) not in scheduler.list_servable()
 
 
 class FakeEngine:
-    """Hold adapters as an engine does, and know when it is overrun."""
+    """An engine that detects when its adapter capacity is exceeded."""
 
-    def __init__(self, places):
-        self.places = places
+    def __init__(self, capacity):
+        self.capacity = capacity
         self.held = set()
         self.pending = {}
         self.overrun = False
@@ -291,7 +284,7 @@
         if order.weights not in self.pending:
             self.pending[order.weights] = now + load_s
             self.taken += 1
-        if len(self.held) + len(self.pending) > self.places:
+        if len(self.held) + len(self.pending) > self.capacity:
             self.overrun = True
         return OrderReply.ACCEPTED
 
@@ -306,11 +299,11 @@
 class TestAgainstAnEngine:
     @settings(max_examples=80, deadline=None)
     @given(st.data())
-    def test_endpoint_is_never_overrun(self, data):
-        """Whatever is asked for, lost or reported late, places suffice."""
-        engine = FakeEngine(places=4)
+    def test_capacity_is_never_exceeded(self, data):
+        """Capacity suffices whatever is requested, lost or reported late."""
+        engine = FakeEngine(capacity=4)
         engine.settle(0.0)
-        places = EndpointPlaces(4, "m")
+        scheduler = AdapterScheduler(4, "m")
         number = 0
         for tick in range(200):
             now = 1.0 + tick * 0.05
@@ -318,17 +311,17 @@
             if data.draw(st.integers(0, 3)) == 0:
                 number += 1
                 weights = adapter(data.draw(st.integers(0, 9)))
-                places.ask(make_ask(number, weights, since=now))
+                scheduler.add_request(make_request(number, weights, since=now))
             if tick % 5 == 0:
                 lag_s = data.draw(st.sampled_from((0.0, 0.1, 0.3)))
-                places.note_report(engine.report(now, lag_s), now, now)
-            for effect in take(places.step({}, now)):
-                known = places.order_count.taken
+                scheduler.note_report(engine.report(now, lag_s), now, now)
+            for effect in select(scheduler.step({}, now)):
+                known = scheduler.order_count.value
                 load_s = data.draw(st.floats(0.02, 1.0))
                 if known is None:
-                    places.withdraw(effect)
+                    scheduler.withdraw(effect)
                     continue
                 reply = engine.order(effect, known, now, load_s)
                 lost = data.draw(st.integers(0, 9)) == 0
-                places.note_reply(effect, None if lost else reply, now)
+                scheduler.note_reply(effect, None if lost else reply, now)
             assert not engine.overrun
--- a/tests/components/placement/test_teller.py
+++ b/tests/components/placement/test_teller.py
@@ -1,10 +1,10 @@
-"""Tests of who is told what endpoints hold."""
+"""Tests of which instances receive updates."""
 
 from types import SimpleNamespace
 
-from fescuekeel.components.placement.const import NEWS_FLEET
-from fescuekeel.components.placement.news import EndpointNews
-from fescuekeel.components.placement.teller import NewsTeller
+from fescuekeel.components.placement.const import SMALL_FLEET_INSTANCES
+from fescuekeel.components.placement.news import EndpointSnapshot
+from fescuekeel.components.placement.teller import UpdatePublisher
 from fescuekeel.core import Bus
 from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.published import Weights
@@ -14,14 +14,14 @@
 CARDS = Weights("m", "cards")
 
 
-class StandInLink:
-    """Note who is told."""
+class FakePeerLink:
+    """Record the recipients."""
 
     def __init__(self):
-        self.told = []
+        self.sent = []
 
     def send_all(self, instance_ids, body):
-        self.told.append((set(instance_ids), body))
+        self.sent.append((set(instance_ids), body))
 
 
 def make_members(size):
@@ -32,13 +32,13 @@
 
 
 class World:
-    """One instance, i0 of dc1, that holds one endpoint."""
+    """Instance i0 of dc1, which holds one endpoint."""
 
     def __init__(self, size, endpoint_centre="dc1"):
-        self.link = StandInLink()
+        self.link = FakePeerLink()
         self.bus = Bus()
         self.centres = {endpoint_centre}
-        self.news = [EndpointNews("e1", 1, {CARDS: 1}, 0, 0)]
+        self.snapshots = [EndpointSnapshot("e1", 1, {CARDS: 1}, 0, 0)]
         instance = SimpleNamespace(
             id="i0",
             bus=self.bus,
@@ -46,19 +46,22 @@
             settings=SimpleNamespace(instance=SimpleNamespace(data_centre="dc1")),
             components_by_domain={"peers": self.link},
         )
-        self.teller = NewsTeller(
-            instance, PlacementBoard(), lambda: self.news, lambda: set(self.centres)
+        self.publisher = UpdatePublisher(
+            instance,
+            PlacementBoard(),
+            lambda: self.snapshots,
+            lambda: set(self.centres),
         )
-        self.see(make_members(size))
+        self.set_members(make_members(size))
 
-    def see(self, members):
+    def set_members(self, members):
         self.members = members
         self.bus.publish_state(MemberView(members))
 
-    def list_told(self):
-        self.link.told.clear()
-        self.teller.step()
-        return set().union(*(told for told, _ in self.link.told))
+    def list_recipients(self):
+        self.link.sent.clear()
+        self.publisher.step()
+        return set().union(*(sent for sent, _ in self.link.sent))
 
     def list_members(self, *centres):
         return {
@@ -68,29 +71,30 @@
         }
 
 
-class TestAudience:
-    def test_small_fleet_is_told_as_a_whole(self):
-        world = World(NEWS_FLEET)
-        assert world.list_told() == world.list_members(*CENTRES)
+class TestRecipients:
+    def test_small_fleet_gets_all_updates(self):
+        world = World(SMALL_FLEET_INSTANCES)
+        assert world.list_recipients() == world.list_members(*CENTRES)
 
-    def test_large_fleet_is_told_near_the_endpoints_only(self):
+    def test_large_fleet_gets_updates_near_the_endpoints_only(self):
         world = World(195)
-        assert world.list_told() == world.list_members("dc1")
+        assert world.list_recipients() == world.list_members("dc1")
 
-    def test_data_centre_that_comes_back_hears_who_holds_its_endpoints(self):
-        """Two instances gave orders to one engine within a second.
+    def test_returning_data_centre_gets_the_claims_to_its_endpoints(self):
+        """Guards against a second holder after a data centre has returned.
 
-        Its data centre had been lost, and an instance of another one held it.
-        The instances of the lost one came back, heard of no holder, and the
-        candidate among them claimed it after a lease.
+        Its instances would know no holder, and their candidate would claim the
+        endpoint that an instance of another data centre holds.
         """
         world = World(195, endpoint_centre="dc2")
-        everybody = world.members
-        world.see({id: m for id, m in everybody.items() if m.data_centre != "dc2"})
-        world.list_told()
-        world.see(everybody)
-        world.link.told.clear()
-        world.teller.step()
-        newcomers, _ = world.link.told[0]
+        all_members = world.members
+        world.set_members(
+            {id: m for id, m in all_members.items() if m.data_centre != "dc2"}
+        )
+        world.list_recipients()
+        world.set_members(all_members)
+        world.link.sent.clear()
+        world.publisher.step()
+        newcomers, _ = world.link.sent[0]
         assert world.list_members("dc2") <= newcomers
-        assert world.list_told() <= world.list_members("dc1", "dc2")
+        assert world.list_recipients() <= world.list_members("dc1", "dc2")
