--- a/fescuekeel/components/placement/candidates.py
+++ b/fescuekeel/components/placement/candidates.py
@@ -164,10 +164,9 @@
     ) -> bool:
         """Return whether no other instance can have held an endpoint.
 
-        This holds for an endpoint that was never seen before and that nobody
-        else was the candidate of for as long as a claim takes to begin and to
-        expire. A new endpoint then need not wait for a lease before its first
-        load.
+        True if the endpoint was never seen before, and if this instance has
+        been its only possible candidate for as long as a claim takes to begin
+        and to expire. The endpoint is then claimed without a lease's wait.
         """
         if record.name in self._seen_endpoints:
             return False
--- a/fescuekeel/components/placement/claims.py
+++ b/fescuekeel/components/placement/claims.py
@@ -274,7 +274,7 @@
     ) -> float:
         """Return when the first order to an endpoint may be sent.
 
-        Where endpoints check fencing tokens, a silent holder is succeeded a
+        Where endpoints check fencing tokens, a silent holder is replaced a
         lease after its last update, provided that this instance has reached
         the endpoint for long enough to receive another holder's claim. Late
         orders of the old holder are rejected by the endpoint.
--- a/fescuekeel/components/placement/places.py
+++ b/fescuekeel/components/placement/places.py
@@ -1,8 +1,8 @@
 """Decide which adapters an endpoint holds.
 
-An endpoint has slots for a few of thousands of adapters. A slot that an order
-may have taken, or has not yet freed, counts as occupied: an endpoint that is
-ordered to hold more than its capacity fails permanently.
+An endpoint has slots for a small fraction of the adapters. A slot that an
+order may have taken, or has not yet freed, counts as occupied: an endpoint
+that is ordered to hold more than its capacity fails permanently.
 """
 
 from collections.abc import Iterable
@@ -103,12 +103,12 @@
     def count_occupied(self) -> int:
         """Return how many adapter slots are or may be occupied."""
         adapters = {weights for weights in self.held if weights.adapter}
-        coming = {
+        loading = {
             weights
             for weights, order in self.orders_by_weights.items()
             if weights.adapter and order.kind is OrderKind.LOAD
         }
-        return len(adapters | coming | self._foreign_pending)
+        return len(adapters | loading | self._foreign_pending)
 
     # Inputs.
 
@@ -165,7 +165,7 @@
                 del own[weights]
             elif weights in report.pending:
                 continue
-            elif requested_at - order.sent_at > self._get_order_lost_s(weights):
+            elif requested_at - order.sent_at > self._get_order_ttl_s(weights):
                 del own[weights]
 
     def _is_done(self, weights: Weights, order: Order, report: EndpointReport) -> bool:
@@ -176,7 +176,7 @@
             return False
         return order.version is None or self.held[weights] >= order.version
 
-    def _get_order_lost_s(self, weights: Weights) -> float:
+    def _get_order_ttl_s(self, weights: Weights) -> float:
         return ORDER_LOST_S if weights.adapter else MODEL_LOAD_LOST_S
 
     def note_reply(
@@ -398,12 +398,12 @@
     def _choose_victim(
         self, weights: Weights, is_replica: bool, now: float
     ) -> Weights | None:
-        wanted = {item.weights for item in self.requests_by_number.values()}
+        requested = {item.weights for item in self.requests_by_number.values()}
         idle = [
             held
             for held in self.held
             if held.adapter
-            and held not in wanted
+            and held not in requested
             and held not in self.orders_by_weights
             and not self.usage.is_in_use(held, now)
             and now - self._get_held_since(held, now) >= MIN_RESIDENCY_S
--- a/tests/components/placement/test_overrun.py
+++ b/tests/components/placement/test_overrun.py
@@ -47,7 +47,7 @@
         self.held = {MODEL, *ADAPTERS[:CAPACITY]}
         self.done_by_pending = {}
         self.fence = 0
-        self.taken = 0
+        self.orders_taken = 0
         self.max_held = 0
         self.orders = 0
         self.loads_by_holder = Counter()
@@ -61,7 +61,7 @@
             if done <= now:
                 del self.done_by_pending[weights]
                 self.held.add(weights)
-        state = set(self.held), frozenset(self.done_by_pending), self.taken
+        state = set(self.held), frozenset(self.done_by_pending), self.orders_taken
         self.history.append((now, state))
         while len(self.history) > 1 and self.history[1][0] <= now - self.lag_s:
             self.history.popleft()
@@ -84,19 +84,19 @@
     def take(self, order):
         if self.fenced and order.fence < self.fence:
             return OrderReply.FENCED
-        if order.after_orders is not None and order.after_orders != self.taken:
+        if order.after_orders is not None and order.after_orders != self.orders_taken:
             return OrderReply.BUSY
         self.fence = max(self.fence, order.fence)
         if order.kind is OrderKind.UNLOAD:
             if order.weights in self.held:
                 self.held.discard(order.weights)
-                self.taken += 1
+                self.orders_taken += 1
             return OrderReply.HOLDS_ALREADY
         if order.weights in self.held:
             return OrderReply.HOLDS_ALREADY
         if order.weights not in self.done_by_pending:
             self.done_by_pending[order.weights] = self.clock() + LOAD_S
-            self.taken += 1
+            self.orders_taken += 1
             self.orders += 1
             self.loads_by_holder[order.holder] += 1
         return OrderReply.ACCEPTED
@@ -116,7 +116,7 @@
     async def travel(self):
         await asyncio.sleep(self.random.uniform(0.001, 0.008))
 
-    async def report(self):
+    async def fetch_report(self):
         await self.travel()
         report = self.endpoint.report()
         await self.travel()
@@ -125,7 +125,7 @@
             return None
         return report
 
-    async def order(self, order, guard):
+    async def send_order(self, order, guard):
         if not guard():
             return OrderReply.UNAVAILABLE
         await self.travel()
@@ -181,7 +181,7 @@
             claims,
             EndpointRecord("e1", "s", "127.0.0.1:1", "dc1", 8, False),
             AdapterScheduler(CAPACITY, "m"),
-            lambda ended: None,
+            lambda result: None,
             lambda: None,
             lambda record: True,
         )
--- a/tests/components/placement/test_places.py
+++ b/tests/components/placement/test_places.py
@@ -52,8 +52,8 @@
         (again,) = select(scheduler.step({}, 1.3))
         assert again.is_repeat
         scheduler.note_reply(again, OrderReply.HOLDS_ALREADY, 1.3)
-        (ended,) = select(scheduler.step({}, 1.3), LoadResult)
-        assert ended.loaded
+        (result,) = select(scheduler.step({}, 1.3), LoadResult)
+        assert result.loaded
 
     def test_nothing_is_ordered_before_the_first_report(self):
         scheduler = AdapterScheduler(3, "m")
@@ -93,8 +93,8 @@
         scheduler = make_scheduler(capacity=1, held=[adapter(1)])
         scheduler.usage.note_prompt_waiting(adapter(1))
         scheduler.add_request(make_request(1, adapter(2), since=5.0))
-        (ended,) = select(scheduler.step({}, 14.0), LoadResult)
-        assert not ended.loaded
+        (result,) = select(scheduler.step({}, 14.0), LoadResult)
+        assert not result.loaded
         assert scheduler.requests_by_number == {}
 
 
@@ -262,7 +262,7 @@
         self.held = set()
         self.pending = {}
         self.overrun = False
-        self.taken = 0
+        self.orders_taken = 0
         self.history = []
 
     def settle(self, now):
@@ -270,20 +270,20 @@
             if now >= done:
                 del self.pending[weights]
                 self.held.add(weights)
-        self.history.append((now, set(self.held), set(self.pending), self.taken))
+        self.history.append((now, set(self.held), set(self.pending), self.orders_taken))
 
     def order(self, order, after_orders, now, load_s):
-        if after_orders != self.taken:
+        if after_orders != self.orders_taken:
             return OrderReply.BUSY
         if order.kind is OrderKind.UNLOAD:
-            self.taken += order.weights in self.held
+            self.orders_taken += order.weights in self.held
             self.held.discard(order.weights)
             return OrderReply.HOLDS_ALREADY
         if order.weights in self.held:
             return OrderReply.HOLDS_ALREADY
         if order.weights not in self.pending:
             self.pending[order.weights] = now + load_s
-            self.taken += 1
+            self.orders_taken += 1
         if len(self.held) + len(self.pending) > self.capacity:
             self.overrun = True
         return OrderReply.ACCEPTED
