--- a/fescuekeel/components/placement/holder.py
+++ b/fescuekeel/components/placement/holder.py
@@ -13,7 +13,7 @@
 from fescuekeel.components.placement.model import LoadResult, SendOrder
 from fescuekeel.components.placement.order_count import ReportAge
 from fescuekeel.components.placement.orders import OrderLink
-from fescuekeel.components.placement.places import AdapterScheduler
+from fescuekeel.components.placement.scheduler import AdapterScheduler
 from fescuekeel.core import Instance
 from fescuekeel.helpers.dialect import (
     Dialect,
--- a/fescuekeel/components/placement/turns.py
+++ b/fescuekeel/components/placement/turns.py
@@ -13,7 +13,7 @@
     Prompt,
     PromptPacer,
 )
-from fescuekeel.components.placement.places import AdapterScheduler
+from fescuekeel.components.placement.scheduler import AdapterScheduler
 from fescuekeel.core import Instance
 from fescuekeel.helpers.board import TURNS_WAIT
 from fescuekeel.helpers.peer_link import get_peer_link
--- a/tests/components/placement/test_order_count.py
+++ b/tests/components/placement/test_order_count.py
@@ -4,7 +4,7 @@
 from fescuekeel.components.placement.holdings import Holdings
 from fescuekeel.components.placement.model import LoadRequest, Order
 from fescuekeel.components.placement.order_count import OrderCount, ReportAge
-from fescuekeel.components.placement.places import AdapterScheduler
+from fescuekeel.components.placement.scheduler import AdapterScheduler
 from fescuekeel.helpers.dialect import EndpointReport, OrderKind, OrderReply
 from fescuekeel.helpers.published import Weights
 
--- a/tests/components/placement/test_overrun.py
+++ b/tests/components/placement/test_overrun.py
@@ -13,7 +13,7 @@
 from fescuekeel.components.placement.claims import Claims, OwnClaim
 from fescuekeel.components.placement.holder import EndpointHolder
 from fescuekeel.components.placement.model import LoadRequest
-from fescuekeel.components.placement.places import AdapterScheduler
+from fescuekeel.components.placement.scheduler import AdapterScheduler
 from fescuekeel.core import Bus, Metrics
 from fescuekeel.helpers.dialect import EndpointReport, OrderKind, OrderReply
 from fescuekeel.helpers.published import EndpointRecord, Weights
--- a/tests/components/placement/test_places.py
+++ b/tests/components/placement/test_scheduler.py
@@ -5,7 +5,7 @@
 
 from fescuekeel.components.placement.const import GRANT_TTL_S, MAX_PENDING
 from fescuekeel.components.placement.model import LoadRequest, LoadResult, SendOrder
-from fescuekeel.components.placement.places import AdapterScheduler
+from fescuekeel.components.placement.scheduler import AdapterScheduler
 from fescuekeel.helpers.dialect import EndpointReport, OrderKind, OrderReply
 from fescuekeel.helpers.published import Weights
 
