--- a/fescuekeel/components/placement/component.py
+++ b/fescuekeel/components/placement/component.py
@@ -2,6 +2,7 @@
 
 from typing import Any
 
+from fescuekeel.components.placement.admission import AdmissionController
 from fescuekeel.components.placement.claims import Claims, OwnClaim
 from fescuekeel.components.placement.const import (
     DOMAIN,
@@ -15,7 +16,6 @@
 from fescuekeel.components.placement.questions import PeerRequestHandler
 from fescuekeel.components.placement.scheduler import AdapterScheduler
 from fescuekeel.components.placement.teller import UpdatePublisher, sends_to_all
-from fescuekeel.components.placement.turns import AdmissionController
 from fescuekeel.core import Actor, Instance
 from fescuekeel.helpers.board import (
     PlacementBoard,
--- a/fescuekeel/components/placement/questions.py
+++ b/fescuekeel/components/placement/questions.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from fescuekeel.components.placement.admission import AdmissionController
 from fescuekeel.components.placement.const import REPLICA_REQUEST_TTL_S
 from fescuekeel.components.placement.holder import EndpointHolder
 from fescuekeel.components.placement.model import LoadRequest, LoadResult
-from fescuekeel.components.placement.turns import AdmissionController
 from fescuekeel.core import Instance
 from fescuekeel.helpers.board import LOADS_WAIT, NO_ROOM, NOT_HELD, NOT_HOLDER
 from fescuekeel.helpers.logging import log_event
