--- a/fescuekeel/components/placement/component.py
+++ b/fescuekeel/components/placement/component.py
@@ -14,8 +14,8 @@
 from fescuekeel.components.placement.model_turns import may_load_model
 from fescuekeel.components.placement.news import EndpointSnapshot
 from fescuekeel.components.placement.peer_requests import PeerRequestHandler
+from fescuekeel.components.placement.publisher import UpdatePublisher, sends_to_all
 from fescuekeel.components.placement.scheduler import AdapterScheduler
-from fescuekeel.components.placement.teller import UpdatePublisher, sends_to_all
 from fescuekeel.core import Actor, Instance
 from fescuekeel.helpers.board import (
     PlacementBoard,
--- a/tests/components/placement/test_teller.py
+++ b/tests/components/placement/test_publisher.py
@@ -4,7 +4,7 @@
 
 from fescuekeel.components.placement.const import SMALL_FLEET_INSTANCES
 from fescuekeel.components.placement.news import EndpointSnapshot
-from fescuekeel.components.placement.teller import UpdatePublisher
+from fescuekeel.components.placement.publisher import UpdatePublisher
 from fescuekeel.core import Bus
 from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.published import Weights
