--- a/fescuekeel/components/placement/publisher.py
+++ b/fescuekeel/components/placement/publisher.py
@@ -10,7 +10,7 @@
     UPDATE_BATCH_S,
     UPDATE_PERIOD_S,
 )
-from fescuekeel.components.placement.news import EndpointSnapshot, UpdateWriter
+from fescuekeel.components.placement.updates import EndpointSnapshot, UpdateWriter
 from fescuekeel.core import Instance
 from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.peer_link import get_peer_link
--- a/tests/components/placement/test_publisher.py
+++ b/tests/components/placement/test_publisher.py
@@ -3,8 +3,8 @@
 from types import SimpleNamespace
 
 from fescuekeel.components.placement.const import SMALL_FLEET_INSTANCES
-from fescuekeel.components.placement.news import EndpointSnapshot
 from fescuekeel.components.placement.publisher import UpdatePublisher
+from fescuekeel.components.placement.updates import EndpointSnapshot
 from fescuekeel.core import Bus
 from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.published import Weights
--- a/tests/components/placement/test_news.py
+++ b/tests/components/placement/test_updates.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 
 from fescuekeel.components.placement.const import FULL_UPDATE_PERIOD_S
-from fescuekeel.components.placement.news import EndpointSnapshot, UpdateWriter
+from fescuekeel.components.placement.updates import EndpointSnapshot, UpdateWriter
 from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.published import Weights
 
