--- a/fescuekeel/components/placement/component.py
+++ b/fescuekeel/components/placement/component.py
@@ -11,7 +11,7 @@
 from fescuekeel.components.placement.engines import EngineTable
 from fescuekeel.components.placement.holder import EndpointHolder
 from fescuekeel.components.placement.model import LoadResult
-from fescuekeel.components.placement.model_turns import may_load_model
+from fescuekeel.components.placement.model_loads import may_load_model
 from fescuekeel.components.placement.peer_requests import PeerRequestHandler
 from fescuekeel.components.placement.publisher import UpdatePublisher, sends_to_all
 from fescuekeel.components.placement.scheduler import AdapterScheduler
--- a/tests/components/placement/test_model_turns.py
+++ b/tests/components/placement/test_model_loads.py
@@ -3,7 +3,7 @@
 import hypothesis.strategies as st
 from hypothesis import given
 
-from fescuekeel.components.placement.model_turns import may_load_model
+from fescuekeel.components.placement.model_loads import may_load_model
 
 ENDPOINTS = [f"e{number}" for number in range(9)]
 
