--- a/fescuekeel/components/placement/usage.py
+++ b/fescuekeel/components/placement/usage.py
@@ -94,7 +94,7 @@
         )
 
     def is_in_use(self, weights: Weights, now: float) -> bool:
-        """Return whether a request for weights is running or about to."""
+        """Return whether weights have running or imminent requests."""
         if weights in self._waiting or self._is_granted(weights, now):
             return True
         if self.count_running(weights, now) > 0:
--- a/tests/components/placement/test_claims.py
+++ b/tests/components/placement/test_claims.py
@@ -360,8 +360,8 @@
                     claims.note_order("e1", now)
                 other = "i2" if id == "i1" else "i1"
                 own = claims.own_claims_by_endpoint.get("e1")
-                told = own is not None and own.held and tenth % 4 == 0
-                if told and now >= suspended_until[other]:
+                sent = own is not None and own.held and tenth % 4 == 0
+                if sent and now >= suspended_until[other]:
                     claims_by_id[other].receive_claim(
                         "e1", id, own.term, False, 0.0, now
                     )
--- a/tests/components/placement/test_pacing.py
+++ b/tests/components/placement/test_pacing.py
@@ -162,16 +162,16 @@
         assert pacer.waiting_tokens == 0
 
     @given(st.lists(st.tuples(st.integers(1, 9000), st.integers(0, 9))))
-    def test_each_prompt_is_decided_once(self, asked):
+    def test_each_prompt_is_decided_once(self, prompts):
         pacer = make_pacer()
         decisions = []
-        for number, (tokens, priority) in enumerate(asked):
+        for number, (tokens, priority) in enumerate(prompts):
             pacer.ask(make_prompt(number, tokens, priority))
             decisions += pacer.step(number * 0.01)
         for tenth in range(1000):
             decisions += pacer.step(tenth / 10)
         assert sorted(decision.number for decision in decisions) == list(
-            range(len(asked))
+            range(len(prompts))
         )
         assert pacer.waiting_tokens == 0
 
--- a/tests/components/placement/test_scheduler.py
+++ b/tests/components/placement/test_scheduler.py
@@ -216,10 +216,8 @@
         scheduler.add_request(make_request(1, adapter(2), since=5.0))
         self.refuse(scheduler, 5.0)
         assert select(scheduler.step({}, 5.01)) == []
-        given = sum(
-            bool(self.try_once(scheduler, 5.0 + n / 100)) for n in range(2, 102)
-        )
-        assert 2 <= given <= 6
+        sent = sum(bool(self.try_once(scheduler, 5.0 + n / 100)) for n in range(2, 102))
+        assert 2 <= sent <= 6
 
     def try_once(self, scheduler, now):
         orders = select(scheduler.step({}, now))
