--- a/fescuekeel/components/membership/beliefs.py
+++ b/fescuekeel/components/membership/beliefs.py
@@ -1,20 +1,20 @@
-"""What is believed of each instance, and what is told of it."""
+"""The member table: state of each instance, and the gossip about it."""
 
 import itertools
 
 import xxhash
 
 from fescuekeel.components.membership.const import (
-    DEAD_KEPT_S,
-    LEFT_KEPT_S,
+    DEAD_RETENTION_S,
+    LEFT_RETENTION_S,
     MAX_MEMBERS,
-    MAX_SYNC,
+    MAX_SYNC_NEWS,
 )
 from fescuekeel.components.membership.leaving import LeavingEndpoints
 from fescuekeel.components.membership.news import NewsQueue
 from fescuekeel.components.membership.records import (
     STATES_BY_KIND,
-    Record,
+    MemberRecord,
     overrides,
 )
 from fescuekeel.messages import (
@@ -31,23 +31,24 @@
     TreeHeld,
 )
 
-__all__ = ["Beliefs"]
+__all__ = ["MemberTable"]
 
 
-class Beliefs:
-    """Hold records, merge what is heard into them, and compose what is told.
+class MemberTable:
+    """Hold the member records, merge gossip into them and compose gossip.
 
-    ``changed`` tells that the view may have changed, ``urgent`` that there is
-    news to pass on at once; whoever acts on either takes it back.
+    ``changed`` says that the view may have changed, ``push_pending`` that
+    there is news to push without waiting for the next probe. The caller
+    resets each flag once it has acted on it.
 
-    >>> beliefs = Beliefs(Member("i1", "127.0.0.1:1", "dc1", 1))
-    >>> beliefs.meet(PeerMet("i2", "127.0.0.1:2", "dc1", 1), now=0.0)
-    >>> beliefs.list_others(), beliefs.urgent
+    >>> table = MemberTable(Member("i1", "127.0.0.1:1", "dc1", 1))
+    >>> table.merge_peer(PeerMet("i2", "127.0.0.1:2", "dc1", 1), now=0.0)
+    >>> table.list_others(), table.push_pending
     ({'i2'}, True)
     """
 
     def __init__(self, own: Member) -> None:
-        self.own = Record(
+        self.own = MemberRecord(
             own.id,
             own.address,
             own.data_centre,
@@ -56,49 +57,51 @@
             0.0,
         )
         self.records_by_id = {own.id: self.own}
-        self.held: TreeHeld | None = None
+        self.held_tree: TreeHeld | None = None
         self.changed = True
-        self.urgent = False
-        self._news = NewsQueue()
+        self.push_pending = False
+        self._news_queue = NewsQueue()
         self._leaving = LeavingEndpoints()
-        self._live = LiveList()
+        self._live_list = LiveList()
         self._digest: News | None = None
 
     @property
-    def held_revision(self) -> int:
-        """Return the tree's revision that this instance holds, or zero."""
-        return 0 if self.held is None else self.held.revision
+    def tree_revision(self) -> int:
+        """Return the tree revision that this instance holds, or zero."""
+        return 0 if self.held_tree is None else self.held_tree.revision
 
     @property
     def digest(self) -> News:
-        """Return a digest of the members, equal for all who know the same.
+        """Return a digest of the members, equal on instances that agree.
 
-        It tells nothing of who is dead, which some may never have heard of.
+        It leaves out dead instances: some peers may never have known them.
         """
         if self._digest is None:
             known = sorted(
                 f"{record.id} {record.incarnation}"
                 for record in self.records_by_id.values()
-                if record.present and record.incarnation
+                if record.is_member and record.incarnation
             )
             digest = xxhash.xxh3_64_hexdigest("\n".join(known).encode())
             self._digest = News(NewsKind.MEMBERS_DIGEST, digest, len(known))
         return self._digest
 
-    def list_all_news(self) -> tuple[News, ...]:
-        """Return what is believed of each instance."""
-        heard = (record for record in self.records_by_id.values() if record.incarnation)
-        return tuple(record.to_news() for record in itertools.islice(heard, MAX_SYNC))
+    def list_full_state(self) -> tuple[News, ...]:
+        """Return news of every known instance, for a full-state sync."""
+        known = (record for record in self.records_by_id.values() if record.incarnation)
+        return tuple(
+            record.to_news() for record in itertools.islice(known, MAX_SYNC_NEWS)
+        )
 
     @property
-    def has_fresh_news(self) -> bool:
-        """Tell whether there is news that few have been told."""
-        return self._news.has_fresh
+    def has_news_to_push(self) -> bool:
+        """Return whether some news still has to be pushed to more peers."""
+        return self._news_queue.needs_push
 
-    # News of peers.
+    # Gossip.
 
-    def hear(self, item: News, now: float) -> None:
-        """Merge news of an instance."""
+    def merge_news(self, item: News, now: float) -> None:
+        """Merge a piece of gossip about an instance."""
         if item.subject == self.own.id:
             self._refute(item)
             return
@@ -106,20 +109,20 @@
         record = self.records_by_id.get(item.subject)
         if record is None:
             if state is InstanceState.ALIVE and item.address:
-                self._add(item, now)
+                self._add_record(item, now)
             return
         if not overrides(item, record):
             return
         if item.address:
             record.address = item.address
             record.data_centre = item.data_centre
-        self.change(record, state, now, item.incarnation)
+        self.set_state(record, state, now, item.incarnation)
 
     def _refute(self, item: News) -> None:
-        """Take back what others believe of this instance.
+        """Refute a false state of this instance that peers gossip.
 
-        A lower incarnation is an earlier life or was guessed from the live
-        list; our own, told again, overrides it.
+        An alive entry of the own or a lower incarnation, as after a restart,
+        needs no refutation: the own record overrides it.
         """
         own = self.own
         if item.kind is NewsKind.ALIVE and item.incarnation <= own.incarnation:
@@ -132,44 +135,44 @@
             own.incarnation = max(own.incarnation, item.incarnation + 1)
         self._digest = None
         self.changed = True
-        self._tell(own.to_news())
+        self._queue_news(own.to_news())
 
-    def note_leaving(self, event: EndpointLeaving, now: float) -> None:
-        """Take note of an endpoint that is leaving, and pass it on."""
-        if self._leaving.note(event.endpoint, event.incarnation, now):
+    def mark_leaving(self, event: EndpointLeaving, now: float) -> None:
+        """Mark an endpoint as leaving, and gossip it if that is new."""
+        if self._leaving.mark(event.endpoint, event.incarnation, now):
             self.changed = True
-            self._tell(
+            self._queue_news(
                 News(NewsKind.ENDPOINT_LEAVING, event.endpoint, event.incarnation)
             )
 
-    # Sources other than peers' news.
+    # Sources other than gossip.
 
-    def meet(self, met: PeerMet, now: float) -> None:
-        """Merge what a connection has shown."""
-        if met.instance_id != self.own.id and met.address:
+    def merge_peer(self, peer: PeerMet, now: float) -> None:
+        """Merge the identity that a peer has proved on a new connection."""
+        if peer.instance_id != self.own.id and peer.address:
             item = News(
                 NewsKind.ALIVE,
-                met.instance_id,
-                met.incarnation,
-                met.address,
-                met.data_centre,
+                peer.instance_id,
+                peer.incarnation,
+                peer.address,
+                peer.data_centre,
             )
-            self.hear(item, now)
+            self.merge_news(item, now)
 
-    def merge_live(self, live: LiveList, now: float) -> None:
-        """Take the lagging list as a hint on who could be there.
+    def merge_live_list(self, live: LiveList, now: float) -> None:
+        """Merge the platform's live list, which lags, as a discovery hint.
 
-        It only adds: who answers probes stays although the list has dropped
-        it, and who is dead by probes stays so although the list has it, until
+        It only adds instances. One that the list drops remains a member while
+        it answers probes, and one that probes found dead remains dead until
         the list shows a new incarnation.
         """
-        self._live = live
+        self._live_list = live
         self.changed = True
         for entry in live.entries_by_id.values():
             if entry.role is LiveRole.ENDPOINT:
                 if entry.leaving:
                     event = EndpointLeaving(entry.id, entry.incarnation)
-                    self.note_leaving(event, now)
+                    self.mark_leaving(event, now)
             elif entry.id != self.own.id:
                 self._merge_instance(entry, now)
 
@@ -180,22 +183,22 @@
                 item = News(
                     NewsKind.ALIVE, entry.id, 0, entry.address, entry.data_centre
                 )
-                self._add(item, now, entry.incarnation)
+                self._add_record(item, now, entry.incarnation)
             return
         restarted = 0 < record.live_incarnation < entry.incarnation
         record.live_incarnation = max(record.live_incarnation, entry.incarnation)
-        if restarted and not record.present and not entry.leaving:
+        if restarted and not record.is_member and not entry.leaving:
             record.address = entry.address
             record.data_centre = entry.data_centre
-            # The new life's own incarnation, a time, is above this.
-            self.change(record, InstanceState.ALIVE, now, record.incarnation + 1)
+            # The restarted instance gossips a higher one: its start time.
+            self.set_state(record, InstanceState.ALIVE, now, record.incarnation + 1)
 
     # Records.
 
-    def _add(self, item: News, now: float, live_incarnation: int = 0) -> None:
+    def _add_record(self, item: News, now: float, live_incarnation: int = 0) -> None:
         if len(self.records_by_id) >= MAX_MEMBERS:
             return
-        record = Record(
+        record = MemberRecord(
             item.subject,
             item.address,
             item.data_centre,
@@ -207,51 +210,51 @@
         self.records_by_id[record.id] = record
         self._digest = None
         self.changed = True
-        self._greet(record)
+        self._queue_join_news(record)
 
-    def change(
+    def set_state(
         self,
-        record: Record,
+        record: MemberRecord,
         state: InstanceState,
         now: float,
         incarnation: int | None = None,
     ) -> None:
-        """Enter a state, of the same incarnation if none is given; tell it."""
+        """Set the state and gossip it; the incarnation is kept if not given."""
         incarnation = record.incarnation if incarnation is None else incarnation
-        was_present = record.present
-        renewed = incarnation > record.incarnation
+        was_member = record.is_member
+        is_newer = incarnation > record.incarnation
         if record.state is not state:
-            record.since = now
+            record.state_since = now
         record.state = state
         record.incarnation = incarnation
         self._digest = None
         self.changed = True
-        if record.present and (renewed or not was_present):
-            self._greet(record)
+        if record.is_member and (is_newer or not was_member):
+            self._queue_join_news(record)
         else:
-            self._tell(record.to_news())
+            self._queue_news(record.to_news())
 
     def prune(self, now: float) -> None:
-        """Forget who has long been dead or gone."""
-        self._leaving.prune(self._live, now)
+        """Remove records of instances that died or left long ago."""
+        self._leaving.prune(self._live_list, now)
         for record in list(self.records_by_id.values()):
-            age = now - record.since
-            gone = record.state is InstanceState.DEAD and age > DEAD_KEPT_S
-            left = record.state is InstanceState.LEFT and age > LEFT_KEPT_S
-            listed = record.id in self._live.entries_by_id
-            if (gone or left) and not listed and record is not self.own:
+            age = now - record.state_since
+            dead = record.state is InstanceState.DEAD and age > DEAD_RETENTION_S
+            left = record.state is InstanceState.LEFT and age > LEFT_RETENTION_S
+            listed = record.id in self._live_list.entries_by_id
+            if (dead or left) and not listed and record is not self.own:
                 del self.records_by_id[record.id]
 
     def list_others(self) -> set[str]:
-        """Return the other members."""
+        """Return the ids of the other members."""
         return {
             record.id
             for record in self.records_by_id.values()
-            if record.present and record is not self.own
+            if record.is_member and record is not self.own
         }
 
-    def list_in(self, state: InstanceState) -> set[str]:
-        """Return the others that are in a state."""
+    def list_in_state(self, state: InstanceState) -> set[str]:
+        """Return the ids of the other instances in a state."""
         return {
             record.id
             for record in self.records_by_id.values()
@@ -259,17 +262,17 @@
         }
 
     def make_view(self) -> MemberView:
-        """Return what other components see.
+        """Return the view that other components use.
 
-        A suspect stays a member: most suspicions are refuted, and moving an
+        Suspects count as members: most suspicions are refuted, and moving an
         endpoint to another owner and back costs more than waiting a second.
         """
         members = {
             record.id: record.to_member()
             for record in self.records_by_id.values()
-            if record.present
+            if record.is_member
         }
-        # The last one keeps what it owns while it drains.
+        # The last instance keeps its endpoints while it drains.
         if not members:
             members = {self.own.id: self.own.to_member()}
         left = frozenset(
@@ -277,42 +280,42 @@
             for record in self.records_by_id.values()
             if record.state is InstanceState.LEFT
         )
-        return MemberView(members, self._leaving.select(self._live), left)
+        return MemberView(members, self._leaving.select(self._live_list), left)
 
-    # What is told.
+    # Outgoing gossip.
 
-    def _greet(self, record: Record) -> None:
-        # What leaves may have been told for the last time before it came. A
-        # higher incarnation may be a new life that has heard nothing.
+    def _queue_join_news(self, record: MemberRecord) -> None:
+        # An instance that joins, or that has restarted with a new incarnation,
+        # has missed news that is no longer transmitted: queue it again.
         for item in self._leaving.list_news():
-            self._news.add(item)
-        # Guards against a fresh instance whose live list still shows one that
-        # left: it would send requests there, and find out by probes alone.
+            self._news_queue.add(item)
+        # Guards against a new instance whose live list still shows one that
+        # left: it would send requests there until its probes fail.
         for other in self.records_by_id.values():
             if other.state is InstanceState.LEFT:
-                self._news.add(other.to_news())
+                self._news_queue.add(other.to_news())
         if record.incarnation:
-            self._tell(record.to_news())
+            self._queue_news(record.to_news())
 
-    def _tell(self, news: News) -> None:
-        self._news.add(news)
-        self.urgent = True
+    def _queue_news(self, news: News) -> None:
+        self._news_queue.add(news)
+        self.push_pending = True
 
-    def compose(self, target: str) -> tuple[News, ...]:
-        """Return what a message to the target carries.
+    def compose_news(self, target: str) -> tuple[News, ...]:
+        """Return the news to attach to a message to the target.
 
-        Our own record and the tree's revision go with every message, so that
-        any contact mends what was lost on the way. So does a bad belief about
-        the target, which can refute it at once.
+        The own record and the tree revision go with every message, so any
+        later message makes up for a lost one. So does the target's record
+        unless it is alive, so that the target can refute it.
         """
         news = [self.own.to_news()]
         record = self.records_by_id.get(target)
         if record is not None and record.state is not InstanceState.ALIVE:
             news.append(record.to_news())
-        if self.held is not None:
-            held = self.held
+        if self.held_tree is not None:
+            held = self.held_tree
             news.append(News(NewsKind.TREE_REVISION, held.digest, held.revision))
         news.append(self.digest)
-        fleet = len(self.list_others()) + 1
-        news += [item for item in self._news.take(fleet) if item not in news]
+        fleet_size = len(self.list_others()) + 1
+        news += [item for item in self._news_queue.take(fleet_size) if item not in news]
         return tuple(news)
--- a/fescuekeel/components/membership/component.py
+++ b/fescuekeel/components/membership/component.py
@@ -1,4 +1,4 @@
-"""The task that probes, gossips and publishes the view."""
+"""The actor that probes peers, gossips and publishes the member view."""
 
 from random import Random
 from typing import Any, cast
@@ -14,9 +14,9 @@
 from fescuekeel.components.membership.decision import Membership
 from fescuekeel.components.membership.events import (
     AnswerPing,
-    AskIndirect,
     Effect,
-    HelperAnswered,
+    IndirectProbe,
+    IndirectProbeDone,
     Leave,
     Pinged,
     Probe,
@@ -24,7 +24,7 @@
     ProbeFailed,
     PublishTree,
     PublishView,
-    Tell,
+    SendNews,
     Tick,
 )
 from fescuekeel.components.peers import Peers
@@ -51,7 +51,7 @@
 
 
 class MembershipActor(Actor):
-    """Carry out what the decision says."""
+    """Feed events to the membership decision and run its effects."""
 
     def __init__(self, instance: Instance, random: Random | None = None) -> None:
         super().__init__(instance, DOMAIN)
@@ -83,14 +83,14 @@
         self.instance.spawn(self._tick_forever(), f"{DOMAIN}.tick")
 
     async def stop(self) -> None:
-        """Tell others that this instance leaves, then end."""
+        """Announce that this instance leaves, then stop."""
         self._decide(Leave())
         await super().stop()
 
     async def _tick_forever(self) -> None:
         while True:
-            # Others must choose other owners from the beginning of a graceful
-            # shutdown on, not from its end.
+            # Announced when the drain begins, not when it ends, so that peers
+            # choose other owners at once.
             if self.instance.draining:
                 self.post(Leave())
             self.post(Tick())
@@ -103,27 +103,27 @@
         elif isinstance(message.body, Ping):
             self._decide(Pinged(message, message.body.news))
         else:
-            self.instance.spawn(self._help(message), f"{DOMAIN}.help")
+            self.instance.spawn(self._probe_for_peer(message), f"{DOMAIN}.help")
 
     def _decide(self, event: Any) -> None:
         for effect in self._decision.handle(event, self.instance.now()):
-            self._carry_out(effect)
+            self._run_effect(effect)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _run_effect(self, effect: Effect) -> None:
         match effect:
             case Probe():
                 self.instance.spawn(self._probe(effect), f"{DOMAIN}.probe")
-            case Tell(target, news):
+            case SendNews(target, news):
                 self._link.send(target, Ping(news))
-            case AnswerPing(question, news):
-                self._link.answer(question, PingAnswer(news))
-            case AskIndirect():
-                self.instance.spawn(self._ask_indirect(effect), f"{DOMAIN}.ask")
+            case AnswerPing(request, news):
+                self._link.answer(request, PingAnswer(news))
+            case IndirectProbe():
+                self.instance.spawn(self._probe_indirectly(effect), f"{DOMAIN}.ask")
             case PublishView(view):
                 self._log_changes(view)
                 self.instance.bus.publish_state(view)
-            case PublishTree(heard):
-                self.instance.bus.publish(heard)
+            case PublishTree(tree):
+                self.instance.bus.publish(tree)
 
     async def _probe(self, probe: Probe) -> None:
         self.instance.metrics.count("membership.probes")
@@ -135,18 +135,18 @@
         self.instance.metrics.count("membership.probe_failed")
         self.post(ProbeFailed(probe.target, probe.number))
 
-    async def _ask_indirect(self, ask: AskIndirect) -> None:
-        question = ProbeAsk(ask.target, ask.address)
-        answer = await self._link.ask(ask.helper, question, INDIRECT_TIMEOUT_S)
+    async def _probe_indirectly(self, probe: IndirectProbe) -> None:
+        request = ProbeAsk(probe.target, probe.address)
+        answer = await self._link.ask(probe.helper, request, INDIRECT_TIMEOUT_S)
         body = answer.value_or(None)
         alive = isinstance(body, ProbeAnswer) and body.alive
-        self.post(HelperAnswered(ask.helper, ask.target, alive))
+        self.post(IndirectProbeDone(probe.helper, probe.target, alive))
 
-    async def _help(self, question: PeerMessage) -> None:
-        assert isinstance(question.body, ProbeAsk)
-        target = question.body.target
+    async def _probe_for_peer(self, request: PeerMessage) -> None:
+        assert isinstance(request.body, ProbeAsk)
+        target = request.body.target
         answer = await self._link.ask(target, Ping(), PROBE_TIMEOUT_S)
-        self._link.answer(question, ProbeAnswer(target, is_successful(answer)))
+        self._link.answer(request, ProbeAnswer(target, is_successful(answer)))
 
     def _log_changes(self, view: MemberView) -> None:
         before = self.instance.bus.latest(MemberView) or MemberView()
--- a/fescuekeel/components/membership/decision.py
+++ b/fescuekeel/components/membership/decision.py
@@ -1,6 +1,6 @@
-"""Decide who is alive and who is told what; a pure decision.
+"""Failure detection and gossip in the manner of SWIM, without I/O.
 
-This is an efficiency decision: a wrong view costs time. No promise rests on
+The view is best effort: a wrong one costs time, and no guarantee depends on
 two instances having the same view.
 """
 
@@ -8,25 +8,25 @@
 from random import Random
 from typing import Any
 
-from fescuekeel.components.membership.beliefs import Beliefs
+from fescuekeel.components.membership.beliefs import MemberTable
 from fescuekeel.components.membership.const import (
     DEAD_PROBE_EVERY,
-    HELPERS,
+    INDIRECT_PROBE_HELPERS,
     PAUSE_S,
     PROBE_PERIOD_S,
     PRUNE_PERIOD_S,
     PUSH_FANOUT,
     PUSH_PERIOD_S,
-    SUSPECT_S,
+    SUSPICION_TIMEOUT_S,
     SYNC_PERIOD_S,
-    TREE_HEARD_PERIOD_S,
+    TREE_REPUBLISH_PERIOD_S,
 )
 from fescuekeel.components.membership.events import (
     AnswerPing,
-    AskIndirect,
     Effect,
     Event,
-    HelperAnswered,
+    IndirectProbe,
+    IndirectProbeDone,
     Leave,
     Pinged,
     Probe,
@@ -34,11 +34,11 @@
     ProbeFailed,
     PublishTree,
     PublishView,
-    Tell,
+    SendNews,
     Tick,
 )
-from fescuekeel.components.membership.probes import ProbeOrder, Probes
-from fescuekeel.components.membership.records import Record
+from fescuekeel.components.membership.probes import PendingProbes, ProbeOrder
+from fescuekeel.components.membership.records import MemberRecord
 from fescuekeel.messages import (
     EndpointLeaving,
     InstanceState,
@@ -58,10 +58,10 @@
 
 
 class Membership:
-    """Believe, doubt and tell.
+    """Detect failed instances, and gossip the state of all instances.
 
-    ``handle`` takes an event at a time in monotonic seconds and returns the
-    effects.
+    ``handle`` takes an event and the time in monotonic seconds, and returns
+    the effects to run.
 
     >>> me = Member("i1", "127.0.0.1:1", "dc1", 1)
     >>> membership = Membership(me, Random(0))
@@ -73,11 +73,11 @@
     """
 
     def __init__(self, own: Member, random: Random) -> None:
-        self._beliefs = Beliefs(own)
-        self._order = ProbeOrder(random)
-        self._dead_order = ProbeOrder(random)
-        self._probes = Probes()
-        self._heard = (0, 0.0)
+        self._members = MemberTable(own)
+        self._probe_order = ProbeOrder(random)
+        self._dead_probe_order = ProbeOrder(random)
+        self._pending_probes = PendingProbes()
+        self._published_tree = (0, 0.0)
         self._view: MemberView | None = None
         self._last_tick: float | None = None
         self._next_probe = self._next_push = self._next_prune = 0.0
@@ -87,223 +87,220 @@
         self._contacts: set[str] = set()
         self._effects: list[Effect] = []
         self._handlers_by_type: dict[type, Callable[[Any, float], None]] = {
-            Tick: self._tick,
-            Pinged: self._take_ping,
-            ProbeAnswered: self._take_answer,
-            ProbeFailed: self._fail_probe,
-            HelperAnswered: self._take_helper,
-            Leave: self._leave,
-            LiveList: self._beliefs.merge_live,
-            PeerMet: self._beliefs.meet,
-            PeerLost: self._doubt_lost,
-            EndpointLeaving: self._beliefs.note_leaving,
-            TreeHeld: self._hold_tree,
+            Tick: self._handle_tick,
+            Pinged: self._handle_ping,
+            ProbeAnswered: self._handle_probe_answered,
+            ProbeFailed: self._handle_probe_failed,
+            IndirectProbeDone: self._handle_indirect_done,
+            Leave: self._handle_leave,
+            LiveList: self._members.merge_live_list,
+            PeerMet: self._members.merge_peer,
+            PeerLost: self._handle_peer_lost,
+            EndpointLeaving: self._members.mark_leaving,
+            TreeHeld: self._handle_tree_held,
         }
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take one event and return its effects."""
+        """Handle one event and return its effects."""
         self._effects = []
         self._check_pause(now)
         self._handlers_by_type[type(event)](event, now)
-        self._push(now)
-        self._publish()
+        self._push_news(now)
+        self._publish_view()
         return self._effects
 
     def _check_pause(self, now: float) -> None:
-        """Start all timers anew after a pause.
+        """Drop pending probes and restart suspicion timers after a pause.
 
-        Guards against a process that was paused: at wake-up every probe looks
-        unanswered and every suspicion expired, and it would declare all the
-        others dead. It shows as a gap between ticks. What was begun before
-        the gap proves nothing, so it is dropped.
+        Guards against declaring every peer dead when the process resumes: its
+        probes look unanswered and its suspicions expired. A pause shows as a
+        gap between ticks.
         """
         last = self._last_tick
         if last is None or now - last <= PAUSE_S:
             return
         self._last_tick = now
-        self._probes.clear()
-        for record in self._beliefs.records_by_id.values():
+        self._pending_probes.clear()
+        for record in self._members.records_by_id.values():
             if record.state is InstanceState.SUSPECT:
-                record.since = now
+                record.state_since = now
 
-    # Time.
+    # Timers.
 
-    def _tick(self, event: Tick, now: float) -> None:
+    def _handle_tick(self, event: Tick, now: float) -> None:
         self._last_tick = now
-        for record in list(self._beliefs.records_by_id.values()):
-            expired = now - record.since >= SUSPECT_S
+        for record in list(self._members.records_by_id.values()):
+            expired = now - record.state_since >= SUSPICION_TIMEOUT_S
             if record.state is InstanceState.SUSPECT and expired:
-                self._beliefs.change(record, InstanceState.DEAD, now)
+                self._members.set_state(record, InstanceState.DEAD, now)
         if now >= self._next_probe:
             self._next_probe = now + PROBE_PERIOD_S
             self._probe_next()
         if now >= self._next_prune:
             self._next_prune = now + PRUNE_PERIOD_S
-            self._beliefs.prune(now)
+            self._members.prune(now)
 
     def _probe_next(self) -> None:
-        # A suspect gets the chance to refute each time, as long as it lasts.
-        suspects = self._beliefs.list_in(InstanceState.SUSPECT)
+        # One suspect is probed in each period, which lets it refute.
+        suspects = self._members.list_in_state(InstanceState.SUSPECT)
         targets = [
-            self._order.choose(self._list_contacts()),
+            self._probe_order.choose(self._list_contacts()),
             min(suspects, default=None),
         ]
         self._probe_count += 1
         if self._probe_count % DEAD_PROBE_EVERY == 0:
-            # After a cut nobody else would find that the dead live.
-            dead = self._beliefs.list_in(InstanceState.DEAD)
-            targets.append(self._dead_order.choose(dead))
+            # Otherwise the two sides of a healed partition stay apart.
+            dead = self._members.list_in_state(InstanceState.DEAD)
+            targets.append(self._dead_probe_order.choose(dead))
         for target in dict.fromkeys(targets):
-            number = self._probes.begin(target) if target is not None else None
+            number = self._pending_probes.begin(target) if target is not None else None
             if target is not None and number is not None:
-                news = self._beliefs.compose(target)
+                news = self._members.compose_news(target)
                 self._effects.append(Probe(target, number, news))
 
     def _list_contacts(self) -> set[str]:
-        """Return whom to probe, and whom to tell.
+        """Return the peers to probe and to push news to.
 
-        Each member is probed by as many others as it probes itself, whatever
-        the fleet's size, so that a death is seen as soon as in a small one.
+        Each member probes as many peers as probe it, so the time to detect a
+        failure hardly depends on the size of the fleet.
         """
-        others = self._beliefs.list_others()
+        others = self._members.list_others()
         if others != self._others:
             self._others = others
-            self._contacts = list_contacts(self._beliefs.own.id, others)
+            self._contacts = list_contacts(self._members.own.id, others)
         return self._contacts
 
     # Probes.
 
-    def _take_answer(self, event: ProbeAnswered, now: float) -> None:
-        self._probes.end(event.target)
-        self._apply(event.news, event.target, now)
-        record = self._beliefs.records_by_id.get(event.target)
+    def _handle_probe_answered(self, event: ProbeAnswered, now: float) -> None:
+        self._pending_probes.end(event.target)
+        self._apply_news(event.news, event.target, now)
+        record = self._members.records_by_id.get(event.target)
         if record is not None and record.state is InstanceState.DEAD:
-            # It lives; what it answers to the news of its death comes back
-            # as a higher incarnation at the latest with the next probe.
-            self._beliefs.change(record, InstanceState.SUSPECT, now)
+            # Suspect, not alive: the next probe carries this state, and the
+            # target refutes it with a higher incarnation.
+            self._members.set_state(record, InstanceState.SUSPECT, now)
 
-    def _fail_probe(self, event: ProbeFailed, now: float) -> None:
-        if not self._probes.is_direct(event.target, event.number):
+    def _handle_probe_failed(self, event: ProbeFailed, now: float) -> None:
+        if not self._pending_probes.is_direct_pending(event.target, event.number):
             return
-        record = self._beliefs.records_by_id.get(event.target)
-        if record is None or not record.present:
-            self._probes.end(event.target)
+        record = self._members.records_by_id.get(event.target)
+        if record is None or not record.is_member:
+            self._pending_probes.end(event.target)
             return
-        helpers = self._order.sample(
+        helpers = self._probe_order.sample(
             [
                 id
                 for id in self._list_contacts()
                 if id != event.target
-                and self._beliefs.records_by_id[id].state is InstanceState.ALIVE
+                and self._members.records_by_id[id].state is InstanceState.ALIVE
             ],
-            HELPERS,
+            INDIRECT_PROBE_HELPERS,
         )
         if not helpers:
-            self._probes.end(event.target)
+            self._pending_probes.end(event.target)
             self._suspect(record, now)
             return
-        self._probes.ask(event.target, helpers)
+        self._pending_probes.begin_indirect(event.target, helpers)
         for helper in helpers:
-            self._effects.append(AskIndirect(helper, record.id, record.address))
+            self._effects.append(IndirectProbe(helper, record.id, record.address))
 
-    def _take_helper(self, event: HelperAnswered, now: float) -> None:
+    def _handle_indirect_done(self, event: IndirectProbeDone, now: float) -> None:
         if event.alive:
-            self._probes.end(event.target)
+            self._pending_probes.end(event.target)
             return
-        if not self._probes.fail_helper(event.target, event.helper):
+        if not self._pending_probes.fail_helper(event.target, event.helper):
             return
-        record = self._beliefs.records_by_id.get(event.target)
+        record = self._members.records_by_id.get(event.target)
         if record is not None:
             self._suspect(record, now)
 
-    def _doubt_lost(self, event: PeerLost, now: float) -> None:
-        record = self._beliefs.records_by_id.get(event.instance_id)
-        if event.reachable or record is None or not record.present:
+    def _handle_peer_lost(self, event: PeerLost, now: float) -> None:
+        record = self._members.records_by_id.get(event.instance_id)
+        if event.reachable or record is None or not record.is_member:
             return
-        number = self._probes.begin(record.id)
+        number = self._pending_probes.begin(record.id)
         if number is not None:
-            self._fail_probe(ProbeFailed(record.id, number), now)
+            self._handle_probe_failed(ProbeFailed(record.id, number), now)
 
-    def _suspect(self, record: Record, now: float) -> None:
+    def _suspect(self, record: MemberRecord, now: float) -> None:
         if record.state is InstanceState.ALIVE:
-            self._beliefs.change(record, InstanceState.SUSPECT, now)
+            self._members.set_state(record, InstanceState.SUSPECT, now)
 
-    # News.
+    # Gossip.
 
-    def _take_ping(self, event: Pinged, now: float) -> None:
-        sender = event.question.sender
-        self._apply(event.news, sender, now)
-        if event.question.number:
-            answer = AnswerPing(event.question, self._beliefs.compose(sender))
+    def _handle_ping(self, event: Pinged, now: float) -> None:
+        sender = event.request.sender
+        self._apply_news(event.news, sender, now)
+        if event.request.number:
+            answer = AnswerPing(event.request, self._members.compose_news(sender))
             self._effects.append(answer)
 
-    def _apply(self, news: Iterable[News], sender: str, now: float) -> None:
-        told: News | None = None
+    def _apply_news(self, news: Iterable[News], sender: str, now: float) -> None:
+        digest: News | None = None
         for item in news:
             if item.kind is NewsKind.TREE_REVISION:
-                self._hear_tree(item, sender, now)
+                self._publish_newer_tree(item, sender, now)
             elif item.kind is NewsKind.MEMBERS_DIGEST:
-                told = item
+                digest = item
             elif item.kind is NewsKind.ENDPOINT_LEAVING:
                 event = EndpointLeaving(item.subject, item.incarnation)
-                self._beliefs.note_leaving(event, now)
+                self._members.mark_leaving(event, now)
             else:
-                self._beliefs.hear(item, now)
-        if told is not None:
-            self._compare(told, sender, now)
+                self._members.merge_news(item, now)
+        if digest is not None:
+            self._sync_if_different(digest, sender, now)
 
-    def _compare(self, told: News, sender: str, now: float) -> None:
-        """Tell a peer all that is believed, if it does not know the same.
+    def _sync_if_different(self, digest: News, sender: str, now: float) -> None:
+        """Send a peer the full state if its members digest differs.
 
-        Guards against news that chance has kept from somebody: passed on a
-        bounded number of times, it reaches all but one in some hundred, and an
-        instance that a few never hear of is asked for nothing by them. The
-        peer finds the same difference, and tells its own beliefs.
+        Guards against instances that some peers never learn of, and so never
+        use: gossip is sent a bounded number of times and may miss a few. The
+        peer sees the same difference and sends its own state.
         """
-        behind = told.subject != self._beliefs.digest.subject
-        if not behind or self._beliefs.has_fresh_news or now < self._next_sync:
+        differs = digest.subject != self._members.digest.subject
+        if not differs or self._members.has_news_to_push or now < self._next_sync:
             return
         self._next_sync = now + SYNC_PERIOD_S
-        self._effects.append(Tell(sender, self._beliefs.list_all_news()))
+        self._effects.append(SendNews(sender, self._members.list_full_state()))
 
-    def _push(self, now: float) -> None:
-        """Pass on urgent news at once, at a bounded rate."""
-        if not self._beliefs.urgent or now < self._next_push:
+    def _push_news(self, now: float) -> None:
+        """Push news without waiting for probes, at a bounded rate."""
+        if not self._members.push_pending or now < self._next_push:
             return
         self._next_push = now + PUSH_PERIOD_S
-        for target in self._order.sample(self._list_contacts(), PUSH_FANOUT):
-            self._effects.append(Tell(target, self._beliefs.compose(target)))
-        # Guards against news that waits for probes because more came at once
-        # than a message holds, or too few were known to be told: it shows as
-        # a fleet that has just started and for seconds knows itself in part.
-        self._beliefs.urgent = self._beliefs.has_fresh_news
-
-    def _hold_tree(self, held: TreeHeld, now: float) -> None:
-        if held.revision > self._beliefs.held_revision:
-            self._beliefs.held = held
-            self._beliefs.urgent = True
-
-    def _hear_tree(self, item: News, sender: str, now: float) -> None:
-        held = self._beliefs.held_revision
-        heard, told_at = self._heard
-        again = now - told_at >= TREE_HEARD_PERIOD_S
-        if item.incarnation > held and (item.incarnation > heard or again):
-            self._heard = (item.incarnation, now)
-            told = TreeHeard(item.incarnation, item.subject, sender)
-            self._effects.append(PublishTree(told))
-
-    def _leave(self, event: Leave, now: float) -> None:
-        own = self._beliefs.own
+        for target in self._probe_order.sample(self._list_contacts(), PUSH_FANOUT):
+            self._effects.append(SendNews(target, self._members.compose_news(target)))
+        # Guards against slow discovery after a common start: with more news
+        # than fits one message, or few known peers, one push is not enough.
+        self._members.push_pending = self._members.has_news_to_push
+
+    def _handle_tree_held(self, held: TreeHeld, now: float) -> None:
+        if held.revision > self._members.tree_revision:
+            self._members.held_tree = held
+            self._members.push_pending = True
+
+    def _publish_newer_tree(self, item: News, sender: str, now: float) -> None:
+        held = self._members.tree_revision
+        published, published_at = self._published_tree
+        again = now - published_at >= TREE_REPUBLISH_PERIOD_S
+        if item.incarnation > held and (item.incarnation > published or again):
+            self._published_tree = (item.incarnation, now)
+            tree = TreeHeard(item.incarnation, item.subject, sender)
+            self._effects.append(PublishTree(tree))
+
+    def _handle_leave(self, event: Leave, now: float) -> None:
+        own = self._members.own
         if own.state is not InstanceState.LEFT:
-            # There may be no later tick to tell it.
+            # Push at once; there may be no later tick.
             self._next_push = now
-            self._beliefs.change(own, InstanceState.LEFT, now)
+            self._members.set_state(own, InstanceState.LEFT, now)
 
-    def _publish(self) -> None:
-        if not self._beliefs.changed:
+    def _publish_view(self) -> None:
+        if not self._members.changed:
             return
-        self._beliefs.changed = False
-        view = self._beliefs.make_view()
+        self._members.changed = False
+        view = self._members.make_view()
         if view != self._view:
             self._view = view
             self._effects.append(PublishView(view))
--- a/fescuekeel/components/membership/events.py
+++ b/fescuekeel/components/membership/events.py
@@ -16,10 +16,10 @@
 
 __all__ = [
     "AnswerPing",
-    "AskIndirect",
     "Effect",
     "Event",
-    "HelperAnswered",
+    "IndirectProbe",
+    "IndirectProbeDone",
     "Leave",
     "Pinged",
     "Probe",
@@ -27,7 +27,7 @@
     "ProbeFailed",
     "PublishTree",
     "PublishView",
-    "Tell",
+    "SendNews",
     "Tick",
 ]
 
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passed; comes several times a second."""
+    """A periodic tick, several times a second."""
 
 
 @dataclass(frozen=True, slots=True)
 class Pinged:
-    """A peer asked for a sign of life, or only told its news."""
+    """A peer sent a ping, or only its news without expecting an answer."""
 
-    question: PeerMessage
+    request: PeerMessage
     news: tuple[News, ...]
 
 
@@ -58,15 +58,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeFailed:
-    """The target did not answer the probe of this number in time."""
+    """The target did not answer the probe with this number in time."""
 
     target: str
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class HelperAnswered:
-    """A helper told whether the target answered it, or told nothing."""
+class IndirectProbeDone:
+    """A helper reported on the target; not alive if the helper timed out."""
 
     helper: str
     target: str
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Our own instance shuts down gracefully."""
+    """This instance begins a graceful shutdown."""
 
 
 Event = (
@@ -83,7 +83,7 @@
     | Pinged
     | ProbeAnswered
     | ProbeFailed
-    | HelperAnswered
+    | IndirectProbeDone
     | Leave
     | LiveList
     | PeerMet
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask the target for a sign of life."""
+    """Ping the target."""
 
     target: str
     number: int
@@ -106,8 +106,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Pass on news without asking for an answer."""
+class SendNews:
+    """Send news without expecting an answer."""
 
     target: str
     news: tuple[News, ...]
@@ -115,14 +115,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerPing:
-    """Answer a peer's probe."""
+    """Answer a peer's ping."""
 
-    question: PeerMessage
+    request: PeerMessage
     news: tuple[News, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class AskIndirect:
+class IndirectProbe:
     """Ask a helper to probe the target."""
 
     helper: str
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishView:
-    """Publish what is believed now."""
+    """Publish the current member view."""
 
     view: MemberView
 
@@ -141,7 +141,7 @@
 class PublishTree:
     """Publish that a peer holds a higher revision of the tree."""
 
-    heard: TreeHeard
+    tree: TreeHeard
 
 
-Effect = Probe | Tell | AnswerPing | AskIndirect | PublishView | PublishTree
+Effect = Probe | SendNews | AnswerPing | IndirectProbe | PublishView | PublishTree
--- a/fescuekeel/components/membership/probes.py
+++ b/fescuekeel/components/membership/probes.py
@@ -1,17 +1,17 @@
-"""Which instance to probe next, and what became of a probe."""
+"""The order of probes, and the probes in progress."""
 
 from collections.abc import Collection
 from dataclasses import dataclass, field
 from random import Random
 
-__all__ = ["ProbeOrder", "Probes"]
+__all__ = ["PendingProbes", "ProbeOrder"]
 
 
 class ProbeOrder:
-    """Go round the members in an order that is shuffled for each round.
+    """Probe members round-robin, in an order shuffled for each round.
 
-    Each member is probed once a round, so that the time until a death is
-    seen has a bound, and all start their rounds at different members.
+    Each member is probed once a round, which bounds the time to detect a
+    failure. Shuffling keeps instances from probing the same target at once.
     """
 
     def __init__(self, random: Random) -> None:
@@ -19,7 +19,7 @@
         self._round: list[str] = []
 
     def choose(self, ids: Collection[str]) -> str | None:
-        """Return the next of the ids, or ``None`` when there are none."""
+        """Return the next id to probe, or ``None`` if there are none."""
         if not ids:
             return None
         while True:
@@ -31,16 +31,17 @@
                 return target
 
     def sample(self, ids: Collection[str], count: int) -> list[str]:
-        """Return some of the ids."""
+        """Return up to ``count`` random ids."""
         return self._random.sample(sorted(ids), min(count, len(ids)))
 
 
 @dataclass(slots=True)
-class Probes:
-    """Hold the helpers still to be heard of, by the target of the probe.
+class PendingProbes:
+    """Track the probe in progress of each target.
 
-    The set is empty while the direct probe is under way. Probes are numbered,
-    so that a late failure is not taken for that of the next one.
+    ``helpers_by_target`` holds the helpers that have not reported yet; the
+    set is empty during the direct probe. Probes are numbered, so that a late
+    failure is not attributed to the next probe.
     """
 
     helpers_by_target: dict[str, set[str]] = field(default_factory=dict)
@@ -48,7 +49,7 @@
     last_number: int = 0
 
     def begin(self, target: str) -> int | None:
-        """Return the number of a new probe, or none while one is under way."""
+        """Return the number of a new probe, ``None`` if one is in progress."""
         if target in self.helpers_by_target:
             return None
         self.last_number += 1
@@ -57,7 +58,7 @@
         return self.last_number
 
     def clear(self) -> None:
-        """Forget all probes."""
+        """Drop all probes."""
         self.helpers_by_target.clear()
         self.numbers_by_target.clear()
 
@@ -66,12 +67,12 @@
         self.helpers_by_target.pop(target, None)
         self.numbers_by_target.pop(target, None)
 
-    def ask(self, target: str, helpers: Collection[str]) -> None:
-        """Wait for helpers."""
+    def begin_indirect(self, target: str, helpers: Collection[str]) -> None:
+        """Start the indirect probe, and wait for these helpers."""
         self.helpers_by_target[target] = set(helpers)
 
     def fail_helper(self, target: str, helper: str) -> bool:
-        """Note that a helper could not reach it; true after the last one."""
+        """Record that a helper failed; return whether it was the last one."""
         helpers = self.helpers_by_target.get(target)
         if not helpers:
             return False
@@ -81,7 +82,7 @@
         self.end(target)
         return True
 
-    def is_direct(self, target: str, number: int) -> bool:
-        """Tell whether this direct probe is under way."""
+    def is_direct_pending(self, target: str, number: int) -> bool:
+        """Return whether this direct probe is in progress."""
         direct = self.helpers_by_target.get(target) == set()
         return direct and self.numbers_by_target[target] == number
--- a/fescuekeel/components/membership/records.py
+++ b/fescuekeel/components/membership/records.py
@@ -1,10 +1,10 @@
-"""What is believed of one instance, and which news overrides it."""
+"""The record of one instance, and which news overrides it."""
 
 from dataclasses import dataclass
 
 from fescuekeel.messages import InstanceState, Member, News, NewsKind
 
-__all__ = ["KINDS_BY_STATE", "STATES_BY_KIND", "Record", "overrides"]
+__all__ = ["KINDS_BY_STATE", "STATES_BY_KIND", "MemberRecord", "overrides"]
 
 STATES_BY_KIND = {
     NewsKind.ALIVE: InstanceState.ALIVE,
@@ -22,13 +22,13 @@
 
 
 @dataclass(slots=True)
-class Record:
-    """Hold what is believed of an instance.
+class MemberRecord:
+    """The state of an instance as known here.
 
-    ``incarnation`` is the instance's own: its start in milliseconds, raised
-    by one for each refutation; zero until it has been heard.
-    ``live_incarnation`` is the platform's, which counts apart. ``since`` is
-    when the state was entered, in monotonic seconds.
+    ``incarnation`` is the instance's own: its start time in milliseconds,
+    raised by one for each refutation; zero if known from the live list only.
+    ``live_incarnation`` is that of the live list, a separate counter.
+    ``state_since`` is when the state was entered, in monotonic seconds.
     """
 
     id: str
@@ -36,22 +36,22 @@
     data_centre: str
     incarnation: int
     state: InstanceState
-    since: float
+    state_since: float
     live_incarnation: int = 0
 
     @property
-    def present(self) -> bool:
-        """Tell whether the instance counts as a member."""
+    def is_member(self) -> bool:
+        """Return whether the instance counts as a member."""
         return self.state in (InstanceState.ALIVE, InstanceState.SUSPECT)
 
     def to_member(self) -> Member:
-        """Return the record as others see it."""
+        """Return the record as part of the member view."""
         return Member(
             self.id, self.address, self.data_centre, self.incarnation, self.state
         )
 
     def to_news(self) -> News:
-        """Return the record as news."""
+        """Return the record as a piece of gossip."""
         return News(
             KINDS_BY_STATE[self.state],
             self.id,
@@ -61,13 +61,13 @@
         )
 
 
-def overrides(news: News, record: Record) -> bool:
-    """Tell whether news is later than what is believed.
+def overrides(news: News, record: MemberRecord) -> bool:
+    """Return whether news overrides a record.
 
-    The higher incarnation wins. Of the same incarnation the worse news wins,
-    so that only the instance itself can take it back, by a higher one.
+    The higher incarnation wins. Within one incarnation the worse state wins,
+    so that only the instance itself can refute it, with a higher incarnation.
 
-    >>> record = Record("i2", "", "", 5, InstanceState.SUSPECT, 0.0)
+    >>> record = MemberRecord("i2", "", "", 5, InstanceState.SUSPECT, 0.0)
     >>> overrides(News(NewsKind.ALIVE, "i2", 5), record)
     False
     >>> overrides(News(NewsKind.ALIVE, "i2", 6), record)
--- a/tests/components/membership/test_component.py
+++ b/tests/components/membership/test_component.py
@@ -10,9 +10,9 @@
 
 
 class TestMembershipActor:
-    def test_instances_find_and_lose_each_other(self):
-        # Only one of three reads the live list; the others learn of each
-        # other from whoever connects. Then one leaves and one dies.
+    def test_instances_discover_and_lose_each_other(self):
+        # Only i1 gets the live list; the others learn of each other through
+        # connections and gossip. Then i3 leaves and i2 dies.
         async def run():
             instances = [Instance(make_settings(id)) for id in ("i1", "i2", "i3")]
             async with running(*instances) as links:
@@ -29,15 +29,15 @@
                     await actor.start()
                 instances[0].bus.publish_state(LiveList(entries))
 
-                def sees(number):
+                def list_members(number):
                     view = instances[number].bus.latest(MemberView)
                     return set(view.members_by_id)
 
-                await wait_for(lambda: all(len(sees(n)) == 3 for n in range(3)))
+                await wait_for(lambda: all(len(list_members(n)) == 3 for n in range(3)))
                 await actors[2].stop()
-                await wait_for(lambda: all(len(sees(n)) == 2 for n in range(2)))
+                await wait_for(lambda: all(len(list_members(n)) == 2 for n in range(2)))
                 assert instances[0].metrics.counters_by_name["membership.gone"] == 1
                 await instances[1].stop()
-                await wait_for(lambda: sees(0) == {"i1"})
+                await wait_for(lambda: list_members(0) == {"i1"})
 
         asyncio.run(run())
--- a/tests/components/membership/test_decision.py
+++ b/tests/components/membership/test_decision.py
@@ -43,44 +43,43 @@
     )
 
 
-class TestDeath:
-    def test_a_dead_instance_is_gone_everywhere_within_seconds(self):
+class TestFailureDetection:
+    def test_dead_instance_is_removed_everywhere_within_the_bound(self):
         network = Network(IDS)
         network.run(5)
         network.dead.add("i3")
         network.run(DEAD_BOUND_S)
         for id in set(IDS) - {"i3"}:
-            assert network.sees(id) == set(IDS) - {"i3"}
+            assert network.list_members(id) == set(IDS) - {"i3"}
 
-    def test_the_list_does_not_bring_a_dead_instance_back(self):
-        # Requests would go to a dead owner again and again: the platform's
-        # list lags and still names it, while probes have shown it dead.
+    def test_stale_live_list_does_not_revive_a_dead_instance(self):
+        # The platform's list lags: requests would go to a dead owner.
         network = Network(IDS)
         network.dead.add("i3")
         network.run(5)
-        network.give("i1", make_live(IDS))
-        assert "i3" not in network.sees("i1")
+        network.deliver("i1", make_live(IDS))
+        assert "i3" not in network.list_members("i1")
 
-    def test_a_new_life_under_the_same_id_is_seen(self):
+    def test_restart_under_the_same_id_is_a_member_again(self):
         network = Network(IDS)
         network.dead.add("i3")
         network.run(5)
         network.add("i3", 2)
-        network.give("i3", make_live(IDS))
+        network.deliver("i3", make_live(IDS))
         network.run(2)
-        assert all("i3" in network.sees(id) for id in IDS)
+        assert all("i3" in network.list_members(id) for id in IDS)
 
-    def test_an_instance_that_the_list_drops_stays_while_it_answers(self):
+    def test_instance_that_the_list_drops_remains_while_it_answers(self):
         network = Network(IDS)
         network.run(1)
         for id in IDS:
-            network.give(id, make_live(set(IDS) - {"i3"}))
+            network.deliver(id, make_live(set(IDS) - {"i3"}))
         network.run(10)
-        assert all("i3" in network.sees(id) for id in IDS)
+        assert all("i3" in network.list_members(id) for id in IDS)
 
-    def test_one_lost_connection_between_two_kills_nobody(self):
-        # An owner would be replaced for nothing: one instance cannot reach
-        # it, while all the others can.
+    def test_one_broken_link_causes_no_suspicion(self):
+        # An owner that one peer cannot reach must not be replaced while all
+        # the other peers can reach it.
         network = Network(IDS)
         network.run(1)
         reaches = network.reaches
@@ -92,10 +91,9 @@
             members = network.views["i1"].members_by_id.values()
             assert [member.state for member in members] == [InstanceState.ALIVE] * 8
 
-    def test_what_was_begun_before_a_pause_proves_nothing(self):
-        # One of two instances is stopped while it suspects the other, or
-        # while its probe is under way. When it wakes up, the time of both is
-        # over, and the other's answer waits behind in the socket.
+    def test_probes_and_suspicions_from_before_a_pause_are_dropped(self):
+        # A process resumes with an expired suspicion or probe, while the
+        # answer of the other instance is still in the socket's buffer.
         for suspected in (True, False):
             membership = Membership(Member("i1", "i1:1", "dc1", 1), Random(0))
             membership.handle(make_live(["i1", "i2"]), 0.0)
@@ -110,10 +108,9 @@
             if not suspected:
                 assert not views
 
-    def test_a_paused_instance_declares_nobody_dead_when_it_wakes_up(self):
-        # The owner of everything, it believes: a process is stopped for a
-        # minute, wakes up, finds every probe unanswered and every suspicion
-        # expired, and would take over the endpoints of all the others.
+    def test_resumed_instance_declares_no_peer_dead(self):
+        # After a pause every probe looks unanswered; declaring the peers dead
+        # would take over all of their endpoints.
         for pause_s in (2, 5, 60):
             network = Network(IDS)
             network.run(3)
@@ -122,72 +119,70 @@
             network.resume("i1")
             for _ in range(50):
                 network.run(0.1)
-                assert network.sees("i1") == set(IDS)
-            assert all("i1" in network.sees(id) for id in IDS)
+                assert network.list_members("i1") == set(IDS)
+            assert all("i1" in network.list_members(id) for id in IDS)
 
-    def test_cut_sides_go_on_alone_and_find_each_other_again(self):
+    def test_partitioned_sides_rejoin_after_the_partition_heals(self):
         network = Network(IDS)
         network.run(1)
-        network.cut = {"i1", "i2", "i3"}
+        network.partitioned = {"i1", "i2", "i3"}
         network.run(8)
-        assert network.sees("i1") == network.cut
-        assert network.sees("i4") == set(IDS) - network.cut
-        network.cut = set()
+        assert network.list_members("i1") == network.partitioned
+        assert network.list_members("i4") == set(IDS) - network.partitioned
+        network.partitioned = set()
         network.run(8)
-        assert all(network.sees(id) == set(IDS) for id in IDS)
+        assert all(network.list_members(id) == set(IDS) for id in IDS)
 
 
 class TestLeaving:
-    def test_an_instance_that_leaves_is_left_out_at_once(self):
+    def test_leaving_instance_is_removed_within_a_second(self):
         network = Network(IDS)
         network.run(1)
-        network.give("i3", Leave())
+        network.deliver("i3", Leave())
         network.run(1)
-        assert all("i3" not in network.sees(id) for id in IDS)
+        assert all("i3" not in network.list_members(id) for id in IDS)
 
-    def test_the_last_instance_keeps_what_it_owns_while_it_drains(self):
+    def test_last_instance_remains_a_member_while_it_drains(self):
         network = Network(["i1"])
-        network.give("i1", Leave())
-        assert network.sees("i1") == {"i1"}
+        network.deliver("i1", Leave())
+        assert network.list_members("i1") == {"i1"}
 
-    def test_a_leaving_endpoint_is_known_everywhere_in_time(self):
-        # New work would be sent to an endpoint that shuts down: only its
-        # owner knows, and the live list shows it as live for a long time.
+    def test_leaving_endpoint_is_excluded_everywhere_within_the_bound(self):
+        # Only its owner knows at first, and the live list lags: others would
+        # send new work to an endpoint that shuts down.
         network = Network(IDS)
         for id in IDS:
-            network.give(id, make_live(IDS, [make_endpoint()]))
+            network.deliver(id, make_live(IDS, [make_endpoint()]))
         network.run(1)
-        network.give("i5", EndpointLeaving("e1", 1))
+        network.deliver("i5", EndpointLeaving("e1", 1))
         network.run(LEAVING_BOUND_S)
         assert not any(network.views[id].endpoints_by_id for id in IDS)
 
-    def test_an_instance_that_comes_later_hears_of_it_too(self):
+    def test_instance_that_joins_later_excludes_a_leaving_endpoint(self):
         network = Network(IDS)
-        network.give("i5", EndpointLeaving("e1", 1))
+        network.deliver("i5", EndpointLeaving("e1", 1))
         network.run(60)
         network.add("i9", 2)
-        network.give("i9", make_live(IDS, [make_endpoint()]))
+        network.deliver("i9", make_live(IDS, [make_endpoint()]))
         network.run(LEAVING_BOUND_S)
         assert not network.views["i9"].endpoints_by_id
 
-    def test_an_instance_that_comes_later_hears_who_has_left(self):
-        """i3 shuts down gracefully; i9 starts while the list still shows i3.
+    def test_instance_that_joins_later_excludes_one_that_left(self):
+        """A new instance sent requests to one that had left gracefully.
 
-        Requests that i9 took in went to i3 again and again, with longer and
-        longer waits, and could end as "outcome unknown" without having run:
-        only probes that failed told i9 that i3 was gone.
+        The live list still showed it, so only failed probes removed it.
         """
         network = Network(IDS)
-        network.give("i3", Leave())
+        network.deliver("i3", Leave())
         network.run(2)
         network.dead.add("i3")
         network.run(10)
         network.add("i9", 2)
-        network.give("i9", make_live(IDS))
+        network.deliver("i9", make_live(IDS))
         network.run(1)
-        assert network.sees("i9") == {*IDS, "i9"} - {"i3"}
+        assert network.list_members("i9") == {*IDS, "i9"} - {"i3"}
 
-    def test_leaving_holds_until_a_new_incarnation(self):
+    def test_endpoint_remains_leaving_until_a_new_incarnation(self):
         network = Network(["i1"])
         seen = []
         for endpoint in (
@@ -196,22 +191,22 @@
             make_endpoint(1),
             make_endpoint(2),
         ):
-            network.give("i1", make_live(["i1"], [endpoint]))
+            network.deliver("i1", make_live(["i1"], [endpoint]))
             seen.append(bool(network.views["i1"].endpoints_by_id))
         assert seen == [True, False, False, True]
 
 
-class TestNews:
-    def test_a_higher_tree_revision_is_heard_with_its_holder(self):
+class TestGossip:
+    def test_higher_tree_revision_is_published_with_its_holder(self):
         network = Network(IDS)
         for id in IDS:
-            network.give(id, TreeHeld(4, "old"))
-        network.give("i2", TreeHeld(5, "new"))
+            network.deliver(id, TreeHeld(4, "old"))
+        network.deliver("i2", TreeHeld(5, "new"))
         network.run(3)
         for id in set(IDS) - {"i2"}:
-            assert network.heard[id] == TreeHeard(5, "new", "i2")
+            assert network.trees_by_id[id] == TreeHeard(5, "new", "i2")
 
-    def test_a_lower_revision_is_not_heard(self):
+    def test_lower_tree_revision_is_not_published(self):
         membership = Membership(Member("i1", "i1:1", "dc1", 1), Random(0))
         membership.handle(TreeHeld(5, "new"), 0.0)
         news = (News(NewsKind.TREE_REVISION, "old", 4),)
@@ -222,15 +217,15 @@
     @pytest.mark.parametrize(
         "kind", [NewsKind.SUSPECT, NewsKind.DEAD, NewsKind.LEFT, NewsKind.ALIVE]
     )
-    def test_what_is_wrongly_told_of_oneself_is_refuted(self, kind):
+    def test_false_state_of_this_instance_is_refuted(self, kind):
         membership = Membership(Member("i1", "i1:1", "dc1", 7), Random(0))
         wrong = News(kind, "i1", 9, "elsewhere:1")
-        question = PeerMessage("i2", 3, Ping((wrong,)))
-        effects = membership.handle(Pinged(question, (wrong,)), 0.0)
-        own = next(effect for effect in effects if hasattr(effect, "question")).news[0]
+        request = PeerMessage("i2", 3, Ping((wrong,)))
+        effects = membership.handle(Pinged(request, (wrong,)), 0.0)
+        own = next(effect for effect in effects if hasattr(effect, "request")).news[0]
         assert own == News(NewsKind.ALIVE, "i1", 10, "i1:1", "dc1")
 
-    def test_a_peer_that_connects_is_a_member(self):
+    def test_peer_that_connects_becomes_a_member(self):
         membership = Membership(Member("i1", "i1:1", "dc1", 1), Random(0))
         effects = membership.handle(PeerMet("i2", "i2:1", "dc2", 8), 0.0)
         member = effects[-1].view.members_by_id["i2"]
@@ -238,7 +233,7 @@
 
 
 class TestCost:
-    def test_probes_do_not_grow_with_the_fleet(self):
+    def test_probe_rate_does_not_grow_with_the_fleet(self):
         probes_by_fleet = {}
         for fleet in (4, 40, 400):
             membership = Membership(Member("i0", "i0:1", "dc1", 1), Random(0))
@@ -256,7 +251,7 @@
             assert max(len(probe.news) for probe in probes) <= 13
         assert probes_by_fleet[40] == probes_by_fleet[400] <= 20
 
-    def test_an_empty_list_takes_nobody_away(self):
+    def test_empty_live_list_removes_no_member(self):
         network = Network(IDS)
-        network.give("i1", LiveList())
-        assert network.sees("i1") == set(IDS)
+        network.deliver("i1", LiveList())
+        assert network.list_members("i1") == set(IDS)
--- a/tests/components/membership/test_fleet.py
+++ b/tests/components/membership/test_fleet.py
@@ -1,23 +1,22 @@
-"""Tests of what a member does and learns in a fleet of two hundred."""
+"""Tests of membership in a simulated fleet of 195 instances."""
 
 from collections import Counter, defaultdict
 
-from fescuekeel.components.membership.events import Probe, Tell
+from fescuekeel.components.membership.events import Probe, SendNews
 from fescuekeel.messages import PeerMet
 from tests.components.membership.network import Network
 
 FLEET = 195
 SEEDS = 3
-# Instances that start together have to know each other well before the lease
-# of three seconds is over, after which they claim endpoints.
-KNOWN_BOUND_S = 3.0
-# A death is known to all in a small fleet after three seconds; where half of
-# the fleet dies at once, half of those who would notice are dead, too.
+# Instances claim endpoints after a lease of three seconds; by then they have
+# to know each other.
+DISCOVERY_BOUND_S = 3.0
+# Longer than for one failure: half of the probing instances fail as well.
 HALF_DEAD_BOUND_S = 10.0
 
 
 class Fleet(Network):
-    """Start instances that know three seeds each, and count what they send."""
+    """Start instances with ``SEEDS`` seeds each; count their messages."""
 
     def __init__(self, size):
         self.sent = Counter()
@@ -30,50 +29,45 @@
         for id in self.ids:
             for seed in self.ids[:SEEDS]:
                 if seed != id:
-                    self.give(id, PeerMet(seed, f"{seed}:1", "dc1", 1))
-                    self.give(seed, PeerMet(id, f"{id}:1", "dc1", 1))
+                    self.deliver(id, PeerMet(seed, f"{seed}:1", "dc1", 1))
+                    self.deliver(seed, PeerMet(id, f"{id}:1", "dc1", 1))
 
-    def carry(self, id, effect):
-        if isinstance(effect, Probe | Tell):
+    def run_effect(self, id, effect):
+        if isinstance(effect, Probe | SendNews):
             self.sent[id] += 1
             self.targets[id].add(effect.target)
             self.longest = max(self.longest, len(effect.news))
-        super().carry(id, effect)
+        super().run_effect(id, effect)
 
-    def run_until(self, holds, bound):
-        """Run until something holds; return when, or None."""
+    def run_until(self, condition, bound):
+        """Run until a condition holds; return the elapsed time, or None."""
         began = self.now
         while self.now - began < bound:
             self.run(0.1)
-            if holds():
+            if condition():
                 return self.now - began
         return None
 
 
 class TestStart:
-    def test_all_know_all_soon_after_a_common_start(self):
-        """For ten seconds after a loss of all power, endpoints had no holder.
+    def test_all_instances_discover_each_other_after_a_common_start(self):
+        """After all instances started at once, endpoints had no holder.
 
-        Two hundred instances started at once. Each had ten pieces of news in
-        a message and some hundred to tell, so that for over 20 seconds every
-        instance knew only a part of the fleet and chose other holders.
+        Messages were too small for all the news, so instances knew only parts
+        of the fleet for a while and chose different holders.
         """
         fleet = Fleet(FLEET)
         everybody = set(fleet.ids)
 
         def all_know_all():
-            return all(fleet.sees(id) == everybody for id in fleet.ids)
+            return all(fleet.list_members(id) == everybody for id in fleet.ids)
 
-        assert fleet.run_until(all_know_all, KNOWN_BOUND_S) is not None
+        assert fleet.run_until(all_know_all, DISCOVERY_BOUND_S) is not None
 
 
 class TestSteadyState:
     def test_messages_and_connections_do_not_grow_with_the_fleet(self):
-        """Each of 195 instances kept a connection to each other one.
-
-        Every one of them was probed in turn, and told of news: 413 sockets,
-        and the handshakes of 194 connections after each start.
-        """
+        """Every instance kept a connection to every other one."""
         sent_by_fleet = {}
         for size in (9, FLEET):
             fleet = Fleet(size)
@@ -86,22 +80,21 @@
         assert sent_by_fleet[FLEET] <= 1.2 * sent_by_fleet[9]
 
 
-class TestDifference:
-    def test_who_has_missed_news_learns_it_from_any_message(self):
-        """One of 195 instances was never asked for anything by two others.
+class TestSync:
+    def test_missed_news_is_recovered_by_comparing_digests(self):
+        """Two instances never learned of a third, and never used it.
 
-        They had missed the news of it, which is passed on a bounded number of
-        times, and no later message told them.
+        They had missed its gossip, which is sent a bounded number of times.
         """
         fleet = Fleet(FLEET)
         fleet.run(10)
-        beliefs = fleet.nodes["i20"]._beliefs
-        del beliefs.records_by_id["i90"]
-        beliefs._digest = None
-        knows = fleet.run_until(lambda: "i90" in beliefs.records_by_id, 3.0)
-        assert knows is not None
+        members = fleet.nodes["i20"]._members
+        del members.records_by_id["i90"]
+        members._digest = None
+        elapsed = fleet.run_until(lambda: "i90" in members.records_by_id, 3.0)
+        assert elapsed is not None
 
-    def test_equal_members_are_not_told_whole(self):
+    def test_equal_digests_cause_no_full_sync(self):
         fleet = Fleet(FLEET)
         fleet.run(10)
         fleet.longest = 0
@@ -109,26 +102,26 @@
         assert fleet.longest <= 3
 
 
-class TestLoss:
-    def test_half_of_the_fleet_is_gone_everywhere(self):
+class TestFailureDetection:
+    def test_failure_of_half_the_fleet_is_detected_everywhere(self):
         fleet = Fleet(FLEET)
         fleet.run(10)
         fleet.dead |= set(fleet.ids[::2])
         living = set(fleet.ids) - fleet.dead
 
-        def only_the_living_are_known():
-            return all(fleet.sees(id) == living for id in living)
+        def only_living_are_members():
+            return all(fleet.list_members(id) == living for id in living)
 
-        gone = fleet.run_until(only_the_living_are_known, HALF_DEAD_BOUND_S)
-        assert gone is not None
+        elapsed = fleet.run_until(only_living_are_members, HALF_DEAD_BOUND_S)
+        assert elapsed is not None
 
-    def test_one_death_is_known_within_the_bound_of_a_small_fleet(self):
+    def test_one_failure_is_detected_as_fast_as_in_a_small_fleet(self):
         fleet = Fleet(FLEET)
         fleet.run(10)
         fleet.dead.add("i77")
         living = set(fleet.ids) - {"i77"}
 
-        def death_is_known():
-            return all(fleet.sees(id) == living for id in living)
+        def failure_is_detected():
+            return all(fleet.list_members(id) == living for id in living)
 
-        assert fleet.run_until(death_is_known, 4.0) is not None
+        assert fleet.run_until(failure_is_detected, 4.0) is not None
--- a/tests/components/membership/test_fuzz.py
+++ b/tests/components/membership/test_fuzz.py
@@ -9,20 +9,20 @@
 IDS = ["i1", "i2", "i3", "i4", "i5"]
 ENDPOINT = LiveEntry("e1", LiveRole.ENDPOINT, "e1:1", "dc1", 1)
 HEAL_S = 25.0
-# From the first probe that fails to a suspicion, but not to its end.
-DOUBT_S = 1.8
+# Long enough to suspect an unreachable peer, too short to declare it dead.
+SUSPECTING_S = 1.8
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Lose, cut, pause, kill and replace; then let it heal and look."""
+    """Inject faults at random; check the views after everything heals."""
 
     def __init__(self):
         super().__init__()
         self.network = Network(IDS)
         self.incarnation = 1
-        self.told = set()
+        self.informed = set()
         for id in IDS:
-            self.network.give(id, make_live(IDS, [ENDPOINT]))
+            self.network.deliver(id, make_live(IDS, [ENDPOINT]))
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 2.0, 6.0]))
     def run_on(self, seconds):
@@ -34,7 +34,7 @@
 
     @rule(side=st.sets(st.sampled_from(IDS)))
     def cut(self, side):
-        self.network.cut = side
+        self.network.partitioned = side
 
     @rule(id=st.sampled_from(IDS))
     def pause(self, id):
@@ -42,18 +42,18 @@
 
     @rule(id=st.sampled_from(IDS))
     def resume(self, id):
-        """Wake one up; it believes none to be dead of whom it was not told."""
-        before = self.network.sees(id) - self.network.dead
-        self.network.told_gone[id].clear()
+        """Resume one; it removes only members that gossip reports gone."""
+        before = self.network.list_members(id) - self.network.dead
+        self.network.reported_gone[id].clear()
         self.network.resume(id)
-        assert before <= self.network.sees(id) | self.network.told_gone[id]
+        assert before <= self.network.list_members(id) | self.network.reported_gone[id]
 
     @rule(id=st.sampled_from(IDS))
     def pause_in_doubt(self, id):
-        """Pause one that a short cut has made doubt the others."""
-        self.network.cut = {id}
-        self.network.run(DOUBT_S)
-        self.network.cut = set()
+        """Pause an instance that suspects others after a short partition."""
+        self.network.partitioned = {id}
+        self.network.run(SUSPECTING_S)
+        self.network.partitioned = set()
         self.pause(id)
         self.network.run(6.0)
         self.resume(id)
@@ -66,36 +66,36 @@
     def replace(self, id):
         self.incarnation += 100
         self.network.paused.discard(id)
-        self.network.held_back.pop(id, None)
+        self.network.deferred_by_id.pop(id, None)
         self.network.add(id, self.incarnation)
-        self.told.discard(id)
-        self.network.give(id, make_live(IDS, [ENDPOINT]))
+        self.informed.discard(id)
+        self.network.deliver(id, make_live(IDS, [ENDPOINT]))
 
     @rule(id=st.sampled_from(IDS))
     def endpoint_leaves(self, id):
         if id not in self.network.dead | self.network.paused:
-            self.network.give(id, EndpointLeaving("e1", 1))
-            self.told.add(id)
+            self.network.deliver(id, EndpointLeaving("e1", 1))
+            self.informed.add(id)
 
     @invariant()
     def one_is_in_ones_own_view(self):
-        assert all(id in self.network.sees(id) for id in IDS)
+        assert all(id in self.network.list_members(id) for id in IDS)
 
     @invariant()
     def leaving_is_not_forgotten(self):
-        for id in self.told:
+        for id in self.informed:
             assert not self.network.views[id].endpoints_by_id
 
     def teardown(self):
         network = self.network
-        network.loss, network.cut = 0.0, set()
+        network.loss, network.partitioned = 0.0, set()
         for id in IDS:
             network.resume(id)
         network.run(HEAL_S)
         alive = set(IDS) - network.dead
         for id in alive:
-            assert network.sees(id) == alive
-        if self.told - network.dead:
+            assert network.list_members(id) == alive
+        if self.informed - network.dead:
             assert not any(network.views[id].endpoints_by_id for id in alive)
 
 
