--- a/fescuekeel/components/membership/decision.py
+++ b/fescuekeel/components/membership/decision.py
@@ -8,7 +8,6 @@
 from random import Random
 from typing import Any
 
-from fescuekeel.components.membership.beliefs import MemberTable
 from fescuekeel.components.membership.const import (
     DEAD_PROBE_EVERY,
     INDIRECT_PROBE_HELPERS,
@@ -37,6 +36,7 @@
     SendNews,
     Tick,
 )
+from fescuekeel.components.membership.member_table import MemberTable
 from fescuekeel.components.membership.probes import PendingProbes, ProbeOrder
 from fescuekeel.components.membership.records import MemberRecord
 from fescuekeel.messages import (
