--- a/fescuekeel/components/catalog/component.py
+++ b/fescuekeel/components/catalog/component.py
@@ -20,10 +20,10 @@
     OTHER_NEWS_FANOUT,
     WATCHER_NEWS_FANOUT,
 )
-from fescuekeel.components.catalog.duty import WatcherSelection
 from fescuekeel.components.catalog.follower import Follower, ListPage, WatchChanges
 from fescuekeel.components.catalog.items import ItemStore
 from fescuekeel.components.catalog.view import CatalogView
+from fescuekeel.components.catalog.watcher_selection import WatcherSelection
 from fescuekeel.core import Instance
 from fescuekeel.helpers.dialect import SourceReply, get_dialect
 from fescuekeel.helpers.exchange import (
--- a/tests/components/catalog/test_duty.py
+++ b/tests/components/catalog/test_watcher_selection.py
@@ -1,7 +1,7 @@
 """Tests of which instances watch the store."""
 
 from fescuekeel.components.catalog.const import WATCHER_TIMEOUT_S, WATCHERS
-from fescuekeel.components.catalog.duty import WatcherSelection
+from fescuekeel.components.catalog.watcher_selection import WatcherSelection
 from fescuekeel.messages import Member
 
 FLEET = [Member(f"i{number}", "", "dc1", 1) for number in range(25)]
