--- a/fescuekeel/components/catalog/component.py
+++ b/fescuekeel/components/catalog/component.py
@@ -237,7 +237,7 @@
         return set(random.sample(self._contacts, min(fanout, len(self._contacts))))
 
     def _send_news(self, peers: set[str]) -> None:
-        """Send peers the known revision; a watcher also sends it to neighbours."""
+        """Send peers the known revision; a watcher adds all its neighbours."""
         watching = self._watching and not self._follower.unavailable
         if watching:
             view = self._instance.bus.latest(MemberView)
--- a/fescuekeel/components/catalog/confirmation.py
+++ b/fescuekeel/components/catalog/confirmation.py
@@ -39,7 +39,9 @@
 
     >>> watch = WatchChanges(after_revision=7, wait_s=2.0)
     >>> quiet = SourceReply(SourceStatus.OK, (), revision=7)
-    >>> find_confirmed_at(watch, quiet, 10.0, replied_at=12.1, listing_asked_at=0.0)
+    >>> find_confirmed_at(
+    ...     watch, quiet, 10.0, replied_at=12.1, listing_asked_at=0.0
+    ... )
     11.96
     """
     if reply.status is not SourceStatus.OK:
--- a/fescuekeel/components/catalog/items.py
+++ b/fescuekeel/components/catalog/items.py
@@ -60,7 +60,7 @@
         return changed
 
     def list_since(self, revision: int) -> tuple[PublishedItem, ...]:
-        """Return the items that changed after a revision, removals included."""
+        """Return the items changed after a revision, removals included."""
         return tuple(
             item for item in self.items_by_key.values() if item.revision > revision
         )
--- a/fescuekeel/components/catalog/view.py
+++ b/fescuekeel/components/catalog/view.py
@@ -136,7 +136,7 @@
             _log_endpoint(record.id, "gone", revision)
 
     def expire(self, now: float) -> bool:
-        """Remove endpoints whose grace is over; return whether there were any."""
+        """Remove endpoints whose grace period is over; return whether any."""
         expired = [
             name for name, until in self._lapsing_until_by_name.items() if now >= until
         ]
--- a/fescuekeel/components/catalog/watcher_selection.py
+++ b/fescuekeel/components/catalog/watcher_selection.py
@@ -25,11 +25,11 @@
     is known to be active, every instance watches.
 
     >>> members = [Member(f"i{number}", "", "dc1", 1) for number in range(9)]
-    >>> selection = WatcherSelection("i1", "dc1")
-    >>> selection.must_watch(members, now=0.0)
+    >>> own = WatcherSelection("i1", "dc1")
+    >>> own.must_watch(members, now=0.0)
     True
-    >>> selection.note_watcher("i2", now=0.0)
-    >>> selection.must_watch(members, now=0.5), selection.must_watch(members, now=5.0)
+    >>> own.note_watcher("i2", now=0.0)
+    >>> own.must_watch(members, now=0.5), own.must_watch(members, now=5.0)
     (False, True)
     """
 
--- a/fescuekeel/components/membership/events.py
+++ b/fescuekeel/components/membership/events.py
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """This instance begins a graceful shutdown."""
+    """The own instance begins a graceful shutdown."""
 
 
 Event = (
--- a/fescuekeel/components/membership/leaving.py
+++ b/fescuekeel/components/membership/leaving.py
@@ -47,7 +47,7 @@
         ]
 
     def prune(self, live: LiveList, now: float) -> None:
-        """Forget endpoints that the live list no longer shows, after a while."""
+        """Forget endpoints that have long been missing from the live list."""
         for endpoint, marked_at in list(self._marked_at_by_id.items()):
             if (
                 now - marked_at > LEAVING_RETENTION_S
--- a/fescuekeel/components/membership/member_table.py
+++ b/fescuekeel/components/membership/member_table.py
@@ -219,7 +219,7 @@
         now: float,
         incarnation: int | None = None,
     ) -> None:
-        """Set the state and gossip it; the incarnation is kept if not given."""
+        """Set and gossip a state; the incarnation is kept if none is given."""
         incarnation = record.incarnation if incarnation is None else incarnation
         was_member = record.is_member
         is_newer = incarnation > record.incarnation
--- a/fescuekeel/components/membership/news.py
+++ b/fescuekeel/components/membership/news.py
@@ -38,7 +38,7 @@
 
     @property
     def needs_push(self) -> bool:
-        """Return whether any news was sent less than ``PUSH_TRANSMITS`` times."""
+        """Return whether any news has to be pushed to more peers."""
         return any(sent < PUSH_TRANSMITS for sent in self._transmits_by_key.values())
 
     def take(self, fleet_size: int) -> tuple[News, ...]:
--- a/tests/components/catalog/test_confirmation.py
+++ b/tests/components/catalog/test_confirmation.py
@@ -38,7 +38,7 @@
         assert confirm(WATCH, reply, took_s=0.1) == 10.0
 
     def test_listing_confirms_up_to_when_its_first_page_was_requested(self):
-        """A configuration changed after its page of a long listing was read."""
+        """A configuration changed after its page of the listing was read."""
         more = SourceReply(SourceStatus.OK, (ITEM,), 8, more=True)
         last = SourceReply(SourceStatus.OK, (ITEM,), 8)
         assert confirm(ListPage("a"), more, took_s=0.1) is None
@@ -78,7 +78,7 @@
 
 class TestPeers:
     def test_age_grows_when_peers_only_ask_each_other(self):
-        """Two partitioned instances kept each other's catalog fresh forever."""
+        """Two partitioned instances kept confirming each other's catalog."""
         ages = [Freshness(), Freshness()]
         for item in ages:
             item.note_confirmed(asked=0.0, age_s=0.0)
