--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -1,8 +1,8 @@
-"""Make the dialect's package importable."""
+"""Add the dialect's package to the import path."""
 
 import sys
 from pathlib import Path
 
-FOLDER = str(Path(__file__).parent.parent.parent / "platform")
-if FOLDER not in sys.path:
-    sys.path.append(FOLDER)
+PACKAGE_PARENT = str(Path(__file__).parent.parent.parent / "platform")
+if PACKAGE_PARENT not in sys.path:
+    sys.path.append(PACKAGE_PARENT)
--- a/tests/platform/test_accounts.py
+++ b/tests/platform/test_accounts.py
@@ -1,4 +1,4 @@
-"""Tests of keys and limits of client accounts over the whole path."""
+"""End-to-end tests of API keys and rate limits of client accounts."""
 
 import asyncio
 from contextlib import asynccontextmanager, suppress
@@ -12,7 +12,7 @@
 from tests.common import eventually
 from tests.platform.test_path import run, start_world
 
-REVOKED_S = 1.5
+REVOKED_BOUND_S = 1.5
 
 
 def make_account(name, *keys, **changes):
@@ -20,11 +20,11 @@
 
 
 @asynccontextmanager
-async def start_keyed_world(*accounts, instances=1):
-    """Start instances whose configuration asks for keys."""
+async def start_world_with_keys(*accounts, instances=1):
+    """Start instances whose configuration requires API keys."""
     async with start_world(instances) as world:
         publish(world, 2, *accounts)
-        await eventually(lambda: world.find_version() == 2)
+        await eventually(lambda: world.get_oldest_version() == 2)
         yield world
 
 
@@ -34,7 +34,7 @@
     world.platform.publish_configuration(configuration | {"tenants": list(accounts)})
 
 
-def find_run(world, request_id):
+def find_record(world, request_id):
     for worker in world.platform.workers_by_id.values():
         for record in worker.records:
             if record.request_id == request_id:
@@ -43,53 +43,48 @@
 
 
 class TestKeys:
-    def test_a_key_is_checked_and_never_passed_on(self):
-        """Anybody was served, and the endpoint saw the caller's key."""
-
+    def test_a_key_is_checked_and_not_forwarded(self):
         async def work():
-            async with start_keyed_world(make_account("shop", "key-1")) as world:
-                answer, _ = await world.ask("/lookup/x")
+            async with start_world_with_keys(make_account("shop", "key-1")) as world:
+                answer, _ = await world.send_request("/lookup/x")
                 assert answer.code == 401
-                answer, _ = await world.ask("/lookup/x", X_Api_Key="made-up")
+                answer, _ = await world.send_request("/lookup/x", X_Api_Key="made-up")
                 assert answer.code == 401
-                answer, id = await world.ask(
+                answer, id = await world.send_request(
                     "/lookup/x", X_Api_Key="key-1", Fescuekeel_Tenant="other"
                 )
                 assert answer.code == 200
-                record = find_run(world, id)
+                record = find_record(world, id)
                 assert (record.account, record.key) == ("shop", "")
-                answer, _ = await world.ask("/open/x")
+                answer, _ = await world.send_request("/open/x")
                 assert answer.code == 200
 
         run(work)
 
-    def test_a_key_that_was_taken_away_is_refused(self):
+    def test_a_revoked_key_is_refused(self):
         async def work():
             account = make_account("shop", "key-1", "key-2")
-            async with start_keyed_world(account) as world:
-                answer, _ = await world.ask("/lookup/x", X_Api_Key="key-1")
+            async with start_world_with_keys(account) as world:
+                answer, _ = await world.send_request("/lookup/x", X_Api_Key="key-1")
                 assert answer.code == 200
-                taken = make_account("shop", "key-2")
-                publish(world, 3, taken)
-                await eventually(lambda: world.find_version() == 3)
-                answer, _ = await world.ask("/lookup/x", X_Api_Key="key-1")
+                changed = make_account("shop", "key-2")
+                publish(world, 3, changed)
+                await eventually(lambda: world.get_oldest_version() == 3)
+                answer, _ = await world.send_request("/lookup/x", X_Api_Key="key-1")
                 assert answer.code == 401
-                answer, _ = await world.ask("/lookup/x", X_Api_Key="key-2")
+                answer, _ = await world.send_request("/lookup/x", X_Api_Key="key-2")
                 assert answer.code == 200
 
         run(work)
 
-    def test_without_word_of_the_store_no_key_is_served_for_long(self):
-        """A key was taken away while an instance was cut from the store.
-
-        It went on serving the key, since nothing told it of the change.
-        """
+    def test_keys_are_refused_once_the_configuration_is_stale(self):
+        """An instance cut off from the store cannot learn of a revocation."""
 
         async def work():
-            async with start_keyed_world(make_account("shop", "key-1")) as world:
+            async with start_world_with_keys(make_account("shop", "key-1")) as world:
                 instance = world.instances[0]
                 bounds = structs.replace(
-                    instance.settings.forwarding, revoked_bound_s=REVOKED_S
+                    instance.settings.forwarding, revoked_bound_s=REVOKED_BOUND_S
                 )
                 instance.settings = structs.replace(
                     instance.settings, forwarding=bounds
@@ -97,13 +92,13 @@
                 world.platform.store.refuse = 503
                 freshness = instance.bus.latest(Freshness)
                 await eventually(
-                    lambda: freshness.read_age_s(instance.now()) > REVOKED_S
+                    lambda: freshness.read_age_s(instance.now()) > REVOKED_BOUND_S
                 )
-                answer, id = await world.ask("/lookup/x", X_Api_Key="key-1")
+                answer, id = await world.send_request("/lookup/x", X_Api_Key="key-1")
                 assert answer.code == 503
                 assert float(answer.headers["Retry-After"]) > 0
-                assert find_run(world, id) is None
-                answer, _ = await world.ask("/open/x")
+                assert find_record(world, id) is None
+                answer, _ = await world.send_request("/open/x")
                 assert answer.code == 200
 
         run(work)
@@ -111,42 +106,36 @@
 
 class TestLimits:
     @pytest.mark.parametrize("instances", [1, 3])
-    def test_a_limit_holds_over_all_instances(self, instances):
-        """Each instance granted the whole limit."""
-
+    def test_a_rate_limit_is_shared_by_all_instances(self, instances):
         async def work():
             account = make_account("shop", "key-1", rate_per_s=1, burst=2)
-            async with start_keyed_world(account, instances=instances) as world:
-                # A home begins with nothing, and a unit comes in each second.
+            async with start_world_with_keys(account, instances=instances) as world:
+                # The allowance starts empty and grows by one unit per second.
                 await asyncio.sleep(1.5)
                 codes = []
                 for number in range(30):
-                    answer, _ = await world.ask(
+                    answer, _ = await world.send_request(
                         "/lookup/x", number % instances, X_Api_Key="key-1"
                     )
                     codes.append(answer.code)
                 assert set(codes) == {200, 429}
-                # What the users allow in a window of eight seconds.
+                # Rate times eight seconds plus burst, with a tolerance of 25%.
                 assert 1 <= codes.count(200) <= (1 * 8 + 2) * 1.25
 
         run(work)
 
-    def test_a_request_that_was_sent_and_timed_out_counts(self):
-        """An account ran twice its limit at endpoints that had gone silent.
-
-        Each request ended with its caller's time, and its price was taken
-        back although the endpoint was at work on it.
-        """
+    def test_a_request_that_timed_out_at_an_endpoint_counts(self):
+        """It must not be refunded, since the endpoint may still run it."""
 
         async def work():
             account = make_account("shop", "key-1", rate_per_s=1, burst=2)
-            async with start_keyed_world(account) as world:
+            async with start_world_with_keys(account) as world:
                 for worker in world.platform.workers_by_id.values():
                     worker.stall = 1000
                 await asyncio.sleep(4.0)
                 for _ in range(30):
                     with suppress(HTTPStreamClosedError):
-                        await world.ask_stream(
+                        await world.send_stream_request(
                             adapter="",
                             X_Api_Key="key-1",
                             Fescuekeel_Deadline_Ms="200",
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -1,4 +1,4 @@
-"""Tests of the translation between the product and the platform."""
+"""Tests of the platform's dialect."""
 
 import base64
 import json
@@ -90,12 +90,11 @@
     return PublishedItem(key, 1, json.dumps(value).encode())
 
 
-class TestRootFolder:
-    def test_standard_library_is_not_hidden(self):
-        """No program started at the root: pydantic failed to import.
+class TestRootDirectory:
+    def test_platform_module_is_not_shadowed(self):
+        """The directory has the name of a standard library module.
 
-        The folder's name is that of a module of the standard library, which a
-        package at the root would hide.
+        As a package, it would shadow that module for programs started here.
         """
         command = "import platform; print(platform.python_implementation())"
         done = subprocess.run(
@@ -105,15 +104,15 @@
 
 
 class TestCallers:
-    def read(self, **headers):
+    def read_caller(self, **headers):
         return DIALECT.read_caller(
             HTTPHeaders(
                 {name.replace("_", "-"): text for name, text in headers.items()}
             )
         )
 
-    def test_request_is_read(self):
-        head = self.read(
+    def test_request_is_parsed(self):
+        head = self.read_caller(
             Fescuekeel_Request_Id="9c41",
             Fescuekeel_Model="m/a7",
             Fescuekeel_Token_Count="1460,80",
@@ -139,16 +138,16 @@
             "Transfer-Encoding",
         ],
     )
-    def test_header_of_the_system_is_dropped(self, name):
-        head = self.read(**{name: "x", "X-Other": "kept"})
+    def test_reserved_header_is_dropped(self, name):
+        head = self.read_caller(**{name: "x", "X-Other": "kept"})
         assert head.headers == (("X-Other", "kept"),)
 
-    def test_number_that_is_none_is_named(self):
+    def test_error_names_the_header_with_an_invalid_number(self):
         with pytest.raises(ValueError, match="Fescuekeel-Deadline-Ms"):
-            self.read(Fescuekeel_Deadline_Ms="soon")
+            self.read_caller(Fescuekeel_Deadline_Ms="soon")
 
-    def test_request_to_an_endpoint_names_it(self):
-        head = self.read(Host="h", Last_Event_Id="3")
+    def test_headers_of_a_request_to_an_endpoint(self):
+        head = self.read_caller(Host="h", Last_Event_Id="3")
         written = dict(
             DIALECT.write_request(head, SendHead("e1", 1.5, 1, 4, resume_after="9"))
         )
@@ -169,10 +168,10 @@
             (500, {"fescuekeel-server-stamp": "x"}, False),
         ],
     )
-    def test_word_that_it_did_not_run(self, status, headers, not_run):
+    def test_response_tells_whether_the_request_ran(self, status, headers, not_run):
         assert DIALECT.read_answer(status, headers).not_run is not_run
 
-    def test_load_and_patience_are_read(self):
+    def test_load_and_keep_alive_are_parsed(self):
         headers = {
             "fescuekeel-server-load": "3,1,8",
             "keep-alive": "timeout=5, max=100",
@@ -180,7 +179,7 @@
         answer = DIALECT.read_answer(200, headers)
         assert (answer.running, answer.waiting, answer.idle_s) == (3, 1, 5.0)
 
-    def test_order_is_written(self):
+    def test_order_is_encoded(self):
         order = WeightOrder(
             OrderKind.LOAD, "e1", Weights("m", "a3"), "i1", 41, version=2
         )
@@ -195,19 +194,21 @@
         }
         assert ("Fescuekeel-Expect-Instance", "e1") in call.headers
 
-    def test_order_names_how_many_orders_it_follows(self):
+    def test_order_has_the_number_of_preceding_orders(self):
         order = WeightOrder(OrderKind.LOAD, "e1", Weights("m"), "i1", 7)
         assert "precondition" not in json.loads(DIALECT.make_order(order).body)
-        counted = replace(order, after_orders=0)
-        assert json.loads(DIALECT.make_order(counted).body)["precondition"] == 0
+        with_precondition = replace(order, after_orders=0)
+        assert (
+            json.loads(DIALECT.make_order(with_precondition).body)["precondition"] == 0
+        )
 
-    def test_replies_are_told_apart(self):
+    def test_order_replies_are_distinguished(self):
         read = DIALECT.read_order_reply
         assert read(202) is OrderReply.ACCEPTED
         assert read(412) is OrderReply.FENCED
         assert read(500) is OrderReply.UNAVAILABLE
 
-    def test_report_is_read(self):
+    def test_report_is_parsed(self):
         body = json.dumps(
             {
                 "models": [{"name": "m", "version": 1, "adapters": ["a3@2"]}],
@@ -226,7 +227,7 @@
 
 
 class TestStore:
-    def test_page_is_read(self):
+    def test_page_is_parsed(self):
         value = base64.b64encode(b"text").decode()
         body = {
             "items": [{"key": "k", "value": value, "revision": 4, "created": 1}],
@@ -239,11 +240,7 @@
 
     @pytest.mark.parametrize("value", ["!", 7, None, {"a": 1}])
     def test_unreadable_item_does_not_fail_its_page(self, value):
-        """No instance saw any further change of the store.
-
-        One item of a page could not be read, and the page was dropped whole,
-        again and again.
-        """
+        """A rejected page would hide all further changes of the store."""
         good = {"key": "k", "value": "dGV4dA==", "revision": 4}
         body = {"items": [{"key": "b", "value": value, "revision": 3}, good]}
         body |= {"has_more": False, "as_of": 9}
@@ -253,57 +250,57 @@
             PublishedItem("k", 4, b"text"),
         )
 
-    def test_removal_is_read(self):
+    def test_deletion_is_parsed(self):
         body = {"events": [{"key": "k", "revision": 4, "tombstone": True}], "as_of": 4}
         reply = DIALECT.read_source_reply(200, json.dumps(body).encode())
         assert reply.items == (PublishedItem("k", 4, None),)
 
     @pytest.mark.parametrize(
-        ("status", "read"),
+        ("status", "expected"),
         [
             (410, SourceStatus.HISTORY_LOST),
             (429, SourceStatus.TURNED_AWAY),
             (503, SourceStatus.TURNED_AWAY),
         ],
     )
-    def test_refusals_are_told_apart(self, status, read):
-        assert DIALECT.read_source_reply(status, b"").status is read
+    def test_store_errors_are_distinguished(self, status, expected):
+        assert DIALECT.read_source_reply(status, b"").status is expected
 
     def test_configuration_is_decoded(self):
-        read = DIALECT.decode(publish("op/config", CONFIGURATION))
-        assert isinstance(read, Configuration)
-        (route,) = read.routes
+        decoded = DIALECT.decode(publish("op/config", CONFIGURATION))
+        assert isinstance(decoded, Configuration)
+        (route,) = decoded.routes
         assert route.kind is RouteKind.STREAM
         assert route.host == "shop.example"
         assert (route.timeout_s, route.target_s, route.gap_target_s) == (15, 0.8, 0.25)
         assert [target.service for target in route.targets] == ["s", "t"]
-        assert read.services_by_name["s"].engine.adapter_places == 20
+        assert decoded.services_by_name["s"].engine.adapter_places == 20
 
     @pytest.mark.parametrize(
-        ("change", "named"),
+        ("change", "message"),
         [
             ({"service": "none", "split": []}, "route r1: service 'none'"),
             ({"route_kind": "odd"}, "route r1: kind 'odd'"),
             ({"timeout_ms": 0}, "timeout_ms"),
         ],
     )
-    def test_invalid_configuration_names_route_and_field(self, change, named):
+    def test_invalid_configuration_names_route_and_field(self, change, message):
         changed = CONFIGURATION | {"routes": [CONFIGURATION["routes"][0] | change]}
-        with pytest.raises(ValueError, match=named):
+        with pytest.raises(ValueError, match=message):
             DIALECT.decode(publish("op/config", changed))
 
     def test_server_is_decoded(self):
         entry = SERVER | {"state": "draining"}
-        read = DIALECT.decode(publish("servers/e1", entry))
-        assert isinstance(read, EndpointRecord)
-        assert read.id == "e1"
-        assert read.leaving
+        decoded = DIALECT.decode(publish("servers/e1", entry))
+        assert isinstance(decoded, EndpointRecord)
+        assert decoded.id == "e1"
+        assert decoded.leaving
 
-    def test_start_of_a_server_is_told_apart(self):
-        read = DIALECT.decode(publish("servers/e1", SERVER | {"born": 1700}))
-        assert (read.name, read.born_ms) == ("e1", 1700)
-        sent = dict(DIALECT.make_report_call(read.id).headers)
-        assert sent["Fescuekeel-Expect-Instance"] == "e1"
+    def test_restarted_server_is_distinguished(self):
+        decoded = DIALECT.decode(publish("servers/e1", SERVER | {"born": 1700}))
+        assert (decoded.name, decoded.born_ms) == ("e1", 1700)
+        headers = dict(DIALECT.make_report_call(decoded.id).headers)
+        assert headers["Fescuekeel-Expect-Instance"] == "e1"
 
     @pytest.mark.parametrize(
         "change",
@@ -321,7 +318,7 @@
             {"sequence": None},
         ],
     )
-    def test_entry_of_another_writer_is_refused(self, change):
+    def test_entry_with_an_invalid_field_is_refused(self, change):
         with pytest.raises(ValueError, match=r"(?s).+"):
             DIALECT.decode(publish("servers/e1", SERVER | change))
 
@@ -332,14 +329,14 @@
             DIALECT.decode(publish("servers/e1", entry))
 
     @pytest.mark.parametrize("value", [b"", b"\xff\x00", b"[]", b"7", b'"text"'])
-    def test_bytes_that_are_no_entry_are_refused(self, value):
+    def test_value_that_is_no_entry_is_refused(self, value):
         with pytest.raises(ValueError, match=r"(?s).+"):
             DIALECT.decode(PublishedItem("servers/e1", 1, value))
 
     def test_version_is_decoded(self):
         entry = {"model": "m", "adapter": "a3", "version": 2}
-        read = DIALECT.decode(publish("op/version/m.a3", entry))
-        assert read == AdapterVersion(Weights("m", "a3"), 2)
+        decoded = DIALECT.decode(publish("op/version/m.a3", entry))
+        assert decoded == AdapterVersion(Weights("m", "a3"), 2)
 
-    def test_foreign_key_is_passed_over(self):
+    def test_unrelated_key_is_ignored(self):
         assert DIALECT.decode(publish("other/key", {})) is None
--- a/tests/platform/test_explain.py
+++ b/tests/platform/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests that a failed request's cause can be found from the logs alone."""
+"""Tests that logs explain why a request failed."""
 
 import ast
 import asyncio
@@ -22,26 +22,23 @@
 
 
 @contextmanager
-def recorded():
-    """Collect the lines that all instances of this process log."""
+def capture_log():
+    """Collect the log lines of all instances in this process."""
     lines = []
 
-    def keep(message):
+    def capture(message):
         lines.append(format_line(message))
 
-    add_destination(keep)
+    add_destination(capture)
     try:
         yield lines
     finally:
-        remove_destination(keep)
+        remove_destination(capture)
 
 
 class TestCauses:
     def test_refusal_before_any_configuration(self):
-        """A caller was refused although every endpoint was idle.
-
-        Its instance had just started while the store turned it away.
-        """
+        """The store rejects a newly started instance."""
 
         async def work():
             world = World()
@@ -49,8 +46,8 @@
             world.platform.store.refuse = 503
             instance = await world.start_instance()
             try:
-                with recorded() as lines:
-                    answer, id = await world.ask("/lookup/x")
+                with capture_log() as lines:
+                    answer, id = await world.send_request("/lookup/x")
                     assert answer.code == 503
                     await asyncio.sleep(0.01)
                 trace = gather(id, [("i1.log", lines)])
@@ -61,19 +58,19 @@
 
         run(work)
 
-    def test_stream_that_stopped_midway(self):
+    def test_interrupted_stream(self):
         async def work():
             async with start_world(1) as world:
                 for worker in world.platform.list_workers(ENGINES):
                     worker.cut = 1
-                with recorded() as lines:
-                    number = "0000000000000001"
+                with capture_log() as lines:
+                    request_id = "0000000000000001"
                     try:
-                        await world.ask_stream(adapter="")
+                        await world.send_stream_request(adapter="")
                     except Exception as error:
                         assert "closed" in str(error).lower()
                     await asyncio.sleep(0.05)
-                trace = gather(number, [("i1.log", lines)])
+                trace = gather(request_id, [("i1.log", lines)])
                 assert "broke off midway" in trace.cause
                 events = [line.event for line in trace.own]
                 assert "answer_broken" in events
@@ -81,13 +78,13 @@
 
         run(work)
 
-    def test_unknown_outcome_of_a_charge(self):
+    def test_unknown_outcome_of_an_unsafe_request(self):
         async def work():
             async with start_world(1) as world:
                 for worker in world.platform.list_workers(PLAIN):
                     worker.misbehaviour.down = True
-                with recorded() as lines:
-                    answer, id = await world.ask("/charge/x", method="POST")
+                with capture_log() as lines:
+                    answer, id = await world.send_request("/charge/x", method="POST")
                     assert answer.code == 502
                     await asyncio.sleep(0.01)
                 trace = gather(id, [("i1.log", lines)])
@@ -100,7 +97,7 @@
 
 class TestEvents:
     def list_events(self):
-        """Return the names of all events that the code logs."""
+        """Return the names of all events logged by the code."""
         names = set()
         paths = [ROOT / "fescuekeel" / "daemon.py"]
         for component in COMPONENTS:
@@ -117,19 +114,18 @@
                 }
         return names
 
-    def test_each_event_is_on_the_page(self):
-        """An on-call engineer met a line that no page explains."""
-        named = set(re.findall(r"`([a-z_]+)`", PAGE))
+    def test_all_events_are_documented(self):
+        documented = set(re.findall(r"`([a-z_]+)`", PAGE))
         events = self.list_events()
         assert len(events) > 15
-        assert events - named == set()
+        assert events - documented == set()
 
 
-class TestClosedList:
-    """A finding could not be traced: the lines that mattered had no age."""
+class TestEventSpecs:
+    """Logged events must match ``EVENTS_BY_NAME``, which trace relies on."""
 
     def list_calls(self):
-        """Return the event and the fields of each call that logs."""
+        """Yield the event and the fields of each ``log_event`` call."""
         for path in (ROOT / "fescuekeel").rglob("*.py"):
             for node in ast.walk(ast.parse(path.read_text("utf-8"))):
                 called = isinstance(node, ast.Call) and isinstance(node.func, ast.Name)
@@ -140,17 +136,17 @@
                     if isinstance(part, ast.Constant):
                         yield part.value, fields
 
-    def test_each_line_is_on_the_list_with_all_its_fields(self):
+    def test_each_logged_event_has_a_spec_and_all_its_fields(self):
         for event, fields in self.list_calls():
             assert event in EVENTS_BY_NAME, event
             missing = set(EVENTS_BY_NAME[event].fields) - fields
             assert not missing, (event, missing)
 
-    def test_each_event_of_the_list_is_logged(self):
+    def test_each_specified_event_is_logged(self):
         logged = {event for event, _ in self.list_calls()} | {"lines_dropped"}
         assert logged >= EVENTS_BY_NAME.keys()
 
-    def test_lines_of_requests_tell_id_and_outcome(self):
+    def test_request_events_have_id_and_outcome(self):
         for event, spec in EVENTS_BY_NAME.items():
             if spec.subject is Subject.REQUEST:
                 assert {"request_id", "outcome"} <= set(spec.fields), event
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path: a stand-in platform and several instances."""
+"""End-to-end tests: a stand-in platform and several instances."""
 
 import asyncio
 import re
@@ -55,20 +55,20 @@
 """
 
 
-# A route whose callers wait for five seconds for their adapter.
-PATIENT_HEADERS = {"Fescuekeel_Deadline_Ms": "20000"}
-PATIENT = {"timeout_ms": 20000, "target_latency_ms": 2000}
+# Leaves enough time for adapter loads on a busy machine.
+LONG_DEADLINE = {"Fescuekeel_Deadline_Ms": "20000"}
+LONG_TIMEOUT = {"timeout_ms": 20000, "target_latency_ms": 2000}
 
 
 class World:
-    """A stand-in platform with instances in front of it."""
+    """A stand-in platform and the instances that serve it."""
 
     def __init__(self, shutdown_s=2):
         self.shutdown_s = shutdown_s
         self.platform = StandInPlatform()
         self.instances = []
         self.client = AsyncHTTPClient(force_instance=True, max_clients=500)
-        self.numbers = iter(range(1, 10_000))
+        self.request_numbers = iter(range(1, 10_000))
 
     async def start_instance(self, data_centre="a"):
         seeds = [
@@ -87,10 +87,10 @@
         self.instances.append(instance)
         return instance
 
-    async def settle(self):
-        """Wait until all know each other, the catalog and the holders."""
+    async def wait_until_converged(self):
+        """Wait until all instances know all members and holders."""
 
-        def settled():
+        def converged():
             for instance in self.instances:
                 view = instance.bus.latest(MemberView)
                 if view is None or len(view.members_by_id) != len(self.instances):
@@ -100,13 +100,13 @@
                     return False
             return True
 
-        await eventually(settled)
+        await eventually(converged)
 
-    async def ask(self, path, instance=0, method="GET", **headers):
+    async def send_request(self, path, instance=0, method="GET", **headers):
         forward = self.instances[instance].components_by_domain["forward"]
         sent = {
             "Host": HOST,
-            "Fescuekeel-Request-Id": f"{next(self.numbers):016x}",
+            "Fescuekeel-Request-Id": f"{next(self.request_numbers):016x}",
             "Fescuekeel-Deadline-Ms": "5000",
         } | {name.replace("_", "-"): value for name, value in headers.items()}
         answer = await self.client.fetch(
@@ -119,9 +119,11 @@
         )
         return answer, sent["Fescuekeel-Request-Id"]
 
-    async def ask_stream(self, path="/script/1", adapter="a1", instance=0, **headers):
+    async def send_stream_request(
+        self, path="/script/1", adapter="a1", instance=0, **headers
+    ):
         weights = f"{MODEL}/{adapter}" if adapter else MODEL
-        return await self.ask(
+        return await self.send_request(
             path,
             instance,
             "POST",
@@ -130,8 +132,8 @@
             **headers,
         )
 
-    def find_version(self):
-        """Return the oldest configuration in force at any instance."""
+    def get_oldest_version(self):
+        """Return the lowest configuration version in use at any instance."""
         return min(
             instance.components_by_domain["forward"].read_version()
             for instance in self.instances
@@ -149,7 +151,7 @@
     world.platform.start()
     for number in range(instances):
         await world.start_instance("ab"[number % 2])
-    await world.settle()
+    await world.wait_until_converged()
     try:
         yield world
     finally:
@@ -162,10 +164,10 @@
 
 
 class TestPlainRequests:
-    def test_request_and_answer_go_through_unchanged(self):
+    def test_request_and_response_are_forwarded_unchanged(self):
         async def work():
             async with start_world(1) as world:
-                answer, id = await world.ask("/charge/x?q=1", method="POST")
+                answer, id = await world.send_request("/charge/x?q=1", method="POST")
                 assert answer.code == 200
                 assert answer.body == b"POST /charge/x?q=1 body"
                 assert "Fescuekeel-Server-Stamp" in answer.headers
@@ -173,40 +175,36 @@
 
         run(work)
 
-    def test_failed_lookup_is_tried_elsewhere(self):
+    def test_failed_safe_request_is_retried(self):
         async def work():
             async with start_world(1) as world:
                 for worker in world.platform.list_workers(PLAIN):
                     worker.fail = 1
                     break
-                answers = [await world.ask("/lookup/x") for _ in range(4)]
+                answers = [await world.send_request("/lookup/x") for _ in range(4)]
                 assert {answer.code for answer, _ in answers} == {200}
 
         run(work)
 
-    def test_failed_charge_is_not_repeated(self):
-        """A charge was made twice.
-
-        The endpoint ran it and answered with a failure; the failure says
-        nothing about what was charged.
-        """
+    def test_failed_unsafe_request_is_not_retried(self):
+        """The endpoint may have executed it despite its error response."""
 
         async def work():
             async with start_world(1) as world:
                 for worker in world.platform.list_workers(PLAIN):
                     worker.fail = 1
-                answer, id = await world.ask("/charge/x", method="POST")
+                answer, id = await world.send_request("/charge/x", method="POST")
                 assert answer.code == 500
                 assert world.count_runs(id) == 1
 
         run(work)
 
-    def test_mute_endpoint_leaves_the_outcome_open(self):
+    def test_unresponsive_endpoint_leaves_the_outcome_unknown(self):
         async def work():
             async with start_world(1) as world:
                 for worker in world.platform.list_workers(PLAIN):
                     worker.misbehaviour.down = True
-                answer, _ = await world.ask("/charge/x", method="POST")
+                answer, _ = await world.send_request("/charge/x", method="POST")
                 assert answer.code == 502
 
         run(work)
@@ -214,26 +212,24 @@
     def test_unknown_path_is_refused(self):
         async def work():
             async with start_world(1) as world:
-                answer, _ = await world.ask("/nothing/")
+                answer, _ = await world.send_request("/nothing/")
                 assert answer.code == 404
 
         run(work)
 
-    def test_route_timeout_ends_the_wait(self):
+    def test_route_timeout_is_enforced(self):
         async def work():
             async with start_world(1) as world:
                 slow = make_route("slow", "unsafe", PLAIN, timeout_ms=200)
                 world.platform.store.put("op/config", make_configuration(2, slow))
-                catalog = world.instances[0].bus
-                await eventually(
-                    lambda: catalog.latest(Catalog).configuration.version == 2
-                )
+                bus = world.instances[0].bus
+                await eventually(lambda: bus.latest(Catalog).configuration.version == 2)
                 for worker in world.platform.list_workers(PLAIN):
                     worker.misbehaviour.swallow = 1
-                began = asyncio.get_running_loop().time()
-                answer, _ = await world.ask("/slow/x", method="POST")
+                start = asyncio.get_running_loop().time()
+                answer, _ = await world.send_request("/slow/x", method="POST")
                 assert answer.code == 504
-                assert asyncio.get_running_loop().time() - began < 0.6
+                assert asyncio.get_running_loop().time() - start < 0.6
 
         run(work)
 
@@ -242,24 +238,24 @@
     def test_adapter_is_loaded_and_served(self):
         async def work():
             async with start_world() as world:
-                answer, id = await world.ask_stream()
+                answer, id = await world.send_stream_request()
                 assert answer.code == 200
                 assert answer.body.count(b"data: piece") == 6
                 assert world.count_runs(id) == 1
 
         run(work)
 
-    def test_many_adapters_never_overrun_an_engine(self):
-        """Callers have time, since loads take longer on a busy machine."""
+    def test_engines_are_not_overloaded_by_many_adapters(self):
+        """Deadlines are long, since loads take longer on a busy machine."""
 
         async def work():
             async with start_world() as world:
-                patient = make_route("patient", "stream", ENGINES, **PATIENT)
-                configuration = make_configuration(2, patient)
+                route = make_route("patient", "stream", ENGINES, **LONG_TIMEOUT)
+                configuration = make_configuration(2, route)
                 world.platform.publish_configuration(configuration)
-                await eventually(lambda: world.find_version() == 2)
-                asked = [
-                    world.ask_stream(
+                await eventually(lambda: world.get_oldest_version() == 2)
+                requests = [
+                    world.send_stream_request(
                         "/patient/1",
                         f"a{n % 12}",
                         n % 2,
@@ -267,7 +263,7 @@
                     )
                     for n in range(60)
                 ]
-                answers = await asyncio.gather(*asked)
+                answers = await asyncio.gather(*requests)
                 engines = world.platform.list_workers(ENGINES)
                 assert not any(worker.overrun for worker in engines)
                 codes = [answer.code for answer, _ in answers]
@@ -281,12 +277,14 @@
     def test_broken_stream_is_resumed_without_a_gap(self):
         async def work():
             async with start_world() as world:
-                await world.ask_stream()
+                await world.send_stream_request()
                 for worker in world.platform.list_workers(ENGINES):
                     worker.cut = 1
                     break
                 for _ in range(3):
-                    answer, _ = await world.ask_stream("/explain/1", adapter="")
+                    answer, _ = await world.send_stream_request(
+                        "/explain/1", adapter=""
+                    )
                     assert answer.code == 200
                     ids = [
                         int(line[4:])
@@ -297,11 +295,11 @@
 
         run(work)
 
-    def test_stream_that_breaks_off_late_goes_on_too(self):
-        """Long answers broke off for good when their endpoint crashed.
+    def test_long_stream_is_resumed_late(self):
+        """The wait for an endpoint must count from the break.
 
-        They could have gone on elsewhere, but the time for which a request
-        waits for an endpoint counted from its arrival, and was long over.
+        Counted from the request's arrival, it is over before a long stream
+        breaks.
         """
 
         async def work():
@@ -310,19 +308,17 @@
                     worker.cut, worker.event_s = 1, 0.8
                     break
                 for _ in range(2):
-                    answer, _ = await world.ask_stream("/explain/1", adapter="")
+                    answer, _ = await world.send_stream_request(
+                        "/explain/1", adapter=""
+                    )
                     ids = re.findall(rb"id: (\d)", answer.body)
                     assert ids == [b"1", b"2", b"3", b"4", b"5", b"6"]
                     worker.event_s = 0.005
 
         run(work)
 
-    def test_stream_of_an_endpoint_that_falls_silent_goes_on_elsewhere(self):
-        """A reader saw half of an answer and nothing more, and left.
-
-        The endpoint was behind a cut. Its connection stood, so that the entry
-        waited for the next piece for as long as the reader did.
-        """
+    def test_stream_of_an_unresponsive_endpoint_is_resumed(self):
+        """A partition may leave the connection open without any data."""
 
         async def work():
             async with start_world(1) as world:
@@ -330,72 +326,74 @@
                     worker.stall = 1
                     break
                 for _ in range(2):
-                    answer, _ = await world.ask_stream("/explain/1", adapter="")
+                    answer, _ = await world.send_stream_request(
+                        "/explain/1", adapter=""
+                    )
                     ids = re.findall(rb"id: (\d)", answer.body)
                     assert ids == [b"1", b"2", b"3", b"4", b"5", b"6"]
                 assert worker.stopped == 1
 
         run(work)
 
-    def test_broken_stream_never_looks_whole(self):
+    def test_broken_stream_is_not_ended_normally(self):
         async def work():
             async with start_world() as world:
                 for worker in world.platform.list_workers(ENGINES):
                     worker.cut = 1
                 with pytest.raises(HTTPStreamClosedError):
-                    await world.ask_stream(adapter="")
+                    await world.send_stream_request(adapter="")
 
         run(work)
 
-    def test_work_stops_when_the_caller_leaves(self):
+    def test_request_is_cancelled_when_the_caller_disconnects(self):
         async def work():
             async with start_world(1) as world:
                 engines = world.platform.list_workers(ENGINES)
                 for worker in engines:
                     worker.events, worker.event_s = 1000, 0.02
-                asking = asyncio.ensure_future(world.ask_stream(adapter=""))
+                request = asyncio.ensure_future(world.send_stream_request(adapter=""))
                 await eventually(lambda: any(worker.running for worker in engines))
                 world.client.close()
-                asking.cancel()
+                request.cancel()
                 await eventually(lambda: not any(worker.running for worker in engines))
                 world.client = AsyncHTTPClient(force_instance=True)
 
         run(work)
 
-    def test_new_version_is_served_after_it_was_named(self):
+    def test_new_version_is_served_after_it_was_published(self):
         async def work():
             async with start_world() as world:
-                await world.ask_stream()
+                await world.send_stream_request()
                 for worker in world.platform.list_workers(ENGINES):
                     worker.newest_by_adapter["a1"] = 2
-                named = {"model": MODEL, "adapter": "a1", "version": 2}
-                world.platform.store.put(f"op/version/{MODEL}.a1", named)
+                published = {"model": MODEL, "adapter": "a1", "version": 2}
+                world.platform.store.put(f"op/version/{MODEL}.a1", published)
 
-                def replaced():
+                def list_updated_workers():
                     return [
                         worker
                         for worker in world.platform.list_workers(ENGINES)
                         if worker.versions_by_adapter.get("a1") == 2
                     ]
 
-                await eventually(replaced)
+                await eventually(list_updated_workers)
                 await asyncio.sleep(2.0)
-                answer, id = await world.ask_stream()
+                answer, id = await world.send_stream_request()
                 assert answer.code == 200
-                assert any(worker.runs[id] for worker in replaced())
+                assert any(worker.runs[id] for worker in list_updated_workers())
 
         run(work)
 
 
 class TestStore:
-    def test_before_any_configuration_nothing_is_denied(self):
+    def test_without_a_configuration_requests_get_a_retryable_error(self):
         async def work():
             world = World()
             world.platform.start()
             world.platform.store.refuse = 503
             instance = await world.start_instance()
             try:
-                answer, _ = await world.ask("/lookup/x")
+                answer, _ = await world.send_request("/lookup/x")
                 assert answer.code == 503
                 assert not instance.components_by_domain["forward"].ready
             finally:
@@ -404,32 +402,28 @@
 
         run(work)
 
-    def test_instance_that_the_store_turns_away_learns_from_peers(self):
-        """One machine denied a new route for as long as it lived.
-
-        The store turned it away and served all others, so that the new
-        configuration never reached it.
-        """
+    def test_instance_rejected_by_the_store_learns_from_peers(self):
+        """The configuration must also reach an instance without the store."""
 
         async def work():
             async with start_world() as world:
-                turned_away = world.instances[1].components_by_domain["catalog"]
-                turned_away._connection.close()
+                rejected = world.instances[1].components_by_domain["catalog"]
+                rejected._connection.close()
 
                 async def refuse(call):
                     return None
 
-                turned_away._call = refuse
+                rejected._call = refuse
                 added = make_route("added", "safe", PLAIN)
                 world.platform.store.put("op/config", make_configuration(2, added))
                 bus = world.instances[1].bus
                 await eventually(lambda: bus.latest(Catalog).configuration.version == 2)
-                answer, _ = await world.ask("/added/x", instance=1)
+                answer, _ = await world.send_request("/added/x", instance=1)
                 assert answer.code == 200
 
         run(work)
 
-    def test_invalid_configuration_leaves_the_last_one_in_force(self):
+    def test_invalid_configuration_is_not_applied(self):
         async def work():
             async with start_world(1) as world:
                 world.platform.store.put("op/config", {"version": 2, "routes": 5})
@@ -439,12 +433,12 @@
                 follower = world.instances[0].components_by_domain["catalog"]
                 await eventually(lambda: follower._items.revision >= revision)
                 assert bus.latest(Catalog).configuration.version == 1
-                answer, _ = await world.ask("/lookup/x")
+                answer, _ = await world.send_request("/lookup/x")
                 assert answer.code == 200
 
         run(work)
 
-    def test_leaving_endpoint_gets_nothing_more(self):
+    def test_removed_endpoint_gets_no_more_requests(self):
         async def work():
             async with start_world(1) as world:
                 leaving = world.platform.list_workers(PLAIN)[0]
@@ -455,12 +449,12 @@
                 )
                 before = sum(leaving.runs.values())
                 for _ in range(6):
-                    await world.ask("/lookup/x")
+                    await world.send_request("/lookup/x")
                 assert sum(leaving.runs.values()) == before
 
         run(work)
 
-    def test_lost_history_is_read_anew(self):
+    def test_store_is_listed_again_after_lost_history(self):
         async def work():
             async with start_world(1) as world:
                 world.platform.store.forget_history()
@@ -473,35 +467,31 @@
 
 
 class TestRestartedEndpoint:
-    def test_adapter_is_loaded_again_at_an_endpoint_that_restarted(self):
-        """All requests for the adapters of one engine were refused.
-
-        It had crashed and come back under its id, and instances went on with
-        what it had held before.
-        """
+    def test_adapter_is_loaded_again_after_an_endpoint_restarted(self):
+        """An engine restarts under its old id without its adapters."""
 
         async def work():
             async with start_world() as world:
-                answer, _ = await world.ask_stream(**PATIENT_HEADERS)
+                answer, _ = await world.send_stream_request(**LONG_DEADLINE)
                 assert answer.code == 200
                 for worker in world.platform.list_workers(ENGINES):
                     worker.restart()
                     world.platform.publish_state(worker, "ready")
                 await asyncio.sleep(1.0)
-                answer, _ = await world.ask_stream(**PATIENT_HEADERS)
+                answer, _ = await world.send_stream_request(**LONG_DEADLINE)
                 assert answer.code == 200
                 assert not any(w.overrun for w in world.platform.list_workers(ENGINES))
 
         run(work)
 
-    def test_entries_of_another_writer_harm_nothing(self):
+    def test_invalid_endpoint_entries_are_ignored(self):
         async def work():
             async with start_world(1) as world:
                 store = world.platform.store
                 store.put_bytes("servers/x1", b"\xff\x00")
                 store.put("servers/x2", {"service": PLAIN, "state": "ready"})
                 store.put("servers/x3", [1, 2, 3])
-                answers = [await world.ask("/lookup/x") for _ in range(4)]
+                answers = [await world.send_request("/lookup/x") for _ in range(4)]
                 assert {answer.code for answer, _ in answers} == {200}
 
         run(work)
@@ -513,7 +503,7 @@
             async with start_world() as world:
                 for worker in world.platform.list_workers(ENGINES):
                     worker.events, worker.event_s = 10, 0.05
-                asking = asyncio.ensure_future(world.ask_stream(adapter=""))
+                request = asyncio.ensure_future(world.send_stream_request(adapter=""))
                 await eventually(
                     lambda: any(w.running for w in world.platform.list_workers(ENGINES))
                 )
@@ -521,63 +511,59 @@
                 stopping = asyncio.ensure_future(first.stop())
                 await asyncio.sleep(0)
                 assert not first.components_by_domain["forward"].ready
-                answer, _ = await asking
+                answer, _ = await request
                 assert answer.code == 200
                 await stopping
                 world.instances.remove(first)
 
         run(work)
 
-    def test_orders_pass_to_another_instance(self):
+    def test_orders_are_taken_over_by_another_instance(self):
         async def work():
             async with start_world() as world:
                 first = world.instances.pop(0)
                 await first.stop()
                 board = world.instances[0].bus.latest(PlacementBoard)
-                # Both engines: the adapter's home may be the later one.
+                # Wait for both engines: either may be the adapter's home.
                 await eventually(
                     lambda: (
                         list(board.holders_by_endpoint.values())
                         == 2 * [world.instances[0].id]
                     )
                 )
-                answer, _ = await world.ask_stream(adapter="a9")
+                answer, _ = await world.send_stream_request(adapter="a9")
                 assert answer.code == 200
 
         run(work)
 
-    def test_next_holder_unloads_nothing_that_the_last_one_uses(self):
-        """An engine refused all orders until a stream of five seconds ended.
-
-        Its holder shut down with that stream under way, and the next one did
-        not hear of it: it ordered to unload the stream's adapter.
-        """
+    def test_next_holder_keeps_adapters_that_the_last_one_uses(self):
+        """Unloading an adapter in use blocks the engine for other orders."""
 
         async def work():
             async with start_world(shutdown_s=6) as world:
-                patient = make_route("patient", "stream", ENGINES, **PATIENT)
-                configuration = make_configuration(2, patient)
+                route = make_route("patient", "stream", ENGINES, **LONG_TIMEOUT)
+                configuration = make_configuration(2, route)
                 world.platform.publish_configuration(configuration)
-                await eventually(lambda: world.find_version() == 2)
+                await eventually(lambda: world.get_oldest_version() == 2)
 
-                def ask(number):
-                    work = world.ask_stream(
-                        "/patient/1", f"a{number}", **PATIENT_HEADERS
+                def send_request(number):
+                    work = world.send_stream_request(
+                        "/patient/1", f"a{number}", **LONG_DEADLINE
                     )
                     return asyncio.ensure_future(work)
 
                 engines = world.platform.list_workers(ENGINES)
                 for worker in engines:
                     worker.events, worker.event_s = 60, 0.05
-                streams = [ask(number) for number in range(1, 7)]
+                streams = [send_request(number) for number in range(1, 7)]
                 await eventually(lambda: sum(w.running for w in engines) == 6)
                 for worker in engines:
                     worker.events = 2
                 first = world.instances.pop(0)
                 stopping = asyncio.ensure_future(first.stop())
                 await asyncio.sleep(0.7)
-                asked = [ask(number) for number in range(11, 19)]
-                answers = await asyncio.gather(*asked, *streams)
+                requests = [send_request(number) for number in range(11, 19)]
+                answers = await asyncio.gather(*requests, *streams)
                 assert {answer.code for answer, _ in answers} == {200}
                 await stopping
                 assert [worker.unloaded_in_use for worker in engines] == [[], []]
@@ -585,9 +571,9 @@
         run(work)
 
 
-class TestClosing:
-    def test_instance_that_closes_begins_nothing(self):
-        """A charge ran on an endpoint, and its caller's connection closed."""
+class TestClosedInstance:
+    def test_stopped_instance_starts_no_request(self):
+        """Its response would be lost when the connections are closed."""
 
         async def work():
             async with start_world(1) as world:
@@ -602,21 +588,21 @@
 
 
 class TestMetrics:
-    def test_counters_and_latencies_are_shown(self):
+    def test_gauges_counters_and_histograms_are_exported(self):
         async def work():
             async with start_world(1) as world:
-                await world.ask("/lookup/x")
+                await world.send_request("/lookup/x")
                 metrics = world.instances[0].components_by_domain["metrics"]
                 url = f"http://{metrics.address}/metrics"
                 text = (await world.client.fetch(url)).body.decode()
-                for believed in (
+                for line in (
                     "fescuekeel_configuration_version 1",
                     'fescuekeel_members{kind="alive"} 1',
                     'fescuekeel_endpoints{kind="ready"} 4',
                     "fescuekeel_catalog_age_seconds",
                     'fescuekeel_retry_budget_left{kind="storefront"}',
                 ):
-                    assert believed in text
+                    assert line in text
                 answer = await world.client.fetch(url)
                 text = answer.body.decode()
                 assert 'fescuekeel_ended_total{kind="answered"} 1' in text
