--- a/fescuekeel/cli.py
+++ b/fescuekeel/cli.py
@@ -1,4 +1,4 @@
-"""The operators' command-line tool."""
+"""The command-line tool for operators."""
 
 import json
 import os
@@ -30,13 +30,13 @@
 TIMEOUT_S = 10.0
 PART_SUFFIX = ".ini"
 
-# The command line's library reads arguments as Python literals, so that a
-# version 1.10 would become the number 1.1 and an adapter 007 the number 7.
+# Fire parses arguments as Python literals by default, which would turn the
+# version 1.10 into the number 1.1 and the adapter 007 into 7.
 as_text = decorators.SetParseFn(str)
 
 
 class ToolError(Exception):
-    """Stop a command with a message and an exit code."""
+    """A command failed; carries the message and the exit code."""
 
     def __init__(self, text: str, code: int = EXIT_FAILED) -> None:
         super().__init__(text)
@@ -44,15 +44,15 @@
 
 
 class Tool:
-    """Check a tree, and see what an instance does.
+    """Validate a tree, inspect a running instance and analyse its logs.
 
     Commands: check DIRECTORY, manifest DIRECTORY REVISION, show, explain SHOP
     SERVICE, status, counters, drain, trace REQUEST_ID FILE..., losses FILE...;
-    --help after one of them says more.
+    run COMMAND --help for details.
 
-    Commands that ask an instance take its operators' address from --url or
-    FESCUEKEEL_URL, and the operators' token from FESCUEKEEL_TOKEN only, since
-    arguments can be read by others of the same machine.
+    Commands that query an instance take its operators' address from --url or
+    FESCUEKEEL_URL. The operators' token is read from FESCUEKEEL_TOKEN only,
+    since other users of the machine can read command-line arguments.
     """
 
     def __init__(self, url: str = "", json: bool = False) -> None:
@@ -61,9 +61,9 @@
 
     @as_text
     def check(self, directory: str) -> None:
-        """Validate the tree in DIRECTORY, before it is published."""
+        """Validate the tree in DIRECTORY before publishing it."""
         contents = _read_parts(Path(directory))
-        intent = _build(contents)
+        intent = _build_intent(contents)
         services = {path: intent.count_adapters(path) for path in intent.service_paths}
         view = {
             "valid": True,
@@ -77,87 +77,88 @@
     def manifest(self, directory: str, revision: str) -> None:
         """Print the manifest that publishes DIRECTORY as REVISION."""
         if not revision.isdecimal() or int(revision) < 1:
-            raise ToolError("REVISION is a number above zero", EXIT_USAGE)
+            raise ToolError("REVISION must be a positive integer", EXIT_USAGE)
         contents = _read_parts(Path(directory))
-        _build(contents)
+        _build_intent(contents)
         sys.stdout.write(format_manifest(int(revision), contents))
 
     @as_text
     def trace(self, request_id: str, *files: str) -> None:
-        """Show what the log FILES of some instances tell of one request."""
+        """Show the log lines of a request in the log FILES of instances."""
         if not files:
             raise ToolError("name at least one log file", EXIT_USAGE)
-        found = gather(request_id, [(name, _read_lines(name)) for name in files])
-        for line in (*found.own, *found.context):
+        trace = gather(request_id, [(name, _read_lines(name)) for name in files])
+        for line in (*trace.own, *trace.context):
             sys.stdout.write(f"{line.file}:{line.number}: {line.text}\n")
-        sys.stdout.write(f"cause: {found.cause}\n")
-        if not found.own:
-            raise ToolError(f"no line of {request_id}")
+        sys.stdout.write(f"cause: {trace.cause}\n")
+        if not trace.own:
+            raise ToolError(f"no log lines found for request {request_id}")
 
     @as_text
     def losses(self, *files: str, plot: str = "") -> None:
-        """Show where the requests in the log FILES of instances lost time.
+        """Show where requests lost time, from the log FILES of instances.
 
-        By route: how many were answered on time, late, refused or failed, and
-        the part of their time that took most of those that were not. Then the
-        refusals, and the loads with their waits. --plot PATH draws it as PNG.
+        For each route: how many requests were answered on time, answered
+        late, refused or failed, and the phase in which most of those not on
+        time spent their time. Then the refusals, and the adapter loads with
+        their waits. --plot PATH also writes a PNG chart.
         """
         if not files:
             raise ToolError("name at least one log file", EXIT_USAGE)
-        found = read_losses((name, _read_lines(name)) for name in files)
-        if not found.routes_by_name:
-            raise ToolError("no line of any request that ended")
-        self._print(make_view(found))
+        losses = read_losses((name, _read_lines(name)) for name in files)
+        if not losses.routes_by_name:
+            raise ToolError("no finished requests found in the log files")
+        self._print(make_view(losses))
         if plot:
-            _plot(found, Path(plot))
+            _plot(losses, Path(plot))
 
     @as_text
     def show(
         self, shop: str = "", service: str = "", adapter: str = "", version: str = ""
     ) -> None:
-        """Show the revision in force, and the policy for a request."""
+        """Show the current tree revision and the policy for a request."""
         self._print(self._get("/tree", shop, service, adapter, version))
 
     @as_text
     def explain(
         self, shop: str, service: str, adapter: str = "", version: str = ""
     ) -> None:
-        """Show where a request would go, and why."""
+        """Show where a request would be routed, and why."""
         self._print(self._get("/explain", shop, service, adapter, version))
 
     def status(self) -> None:
-        """Show members, endpoints, their owners and queues."""
-        self._print(self._call("GET", "/status"))
+        """Show members, endpoints, owners and queues."""
+        self._print(self._send_request("GET", "/status"))
 
     @as_text
     def counters(self, prefix: str = "") -> None:
-        """Show counters and durations, those that begin with PREFIX."""
-        view = self._call("GET", "/counters")
-        chosen = {
+        """Show counters and durations whose names begin with PREFIX."""
+        view = self._send_request("GET", "/counters")
+        selected = {
             kind: {
                 name: value for name, value in values.items() if name.startswith(prefix)
             }
             for kind, values in view.items()
         }
-        self._print(chosen)
+        self._print(selected)
 
     def drain(self) -> None:
         """Shut the instance down gracefully."""
-        self._print(self._call("POST", "/drain"))
+        self._print(self._send_request("POST", "/drain"))
 
     def _get(
         self, path: str, shop: str, service: str, adapter: str, version: str
     ) -> dict[str, Any]:
-        asked = {
+        parameters = {
             "shop": shop,
             "service": service,
             "adapter": adapter,
             "version": version,
         }
-        given = {name: value for name, value in asked.items() if value}
-        return self._call("GET", url_concat(path, given))
+        query = {name: value for name, value in parameters.items() if value}
+        return self._send_request("GET", url_concat(path, query))
 
-    def _call(self, method: str, path: str) -> dict[str, Any]:
+    def _send_request(self, method: str, path: str) -> dict[str, Any]:
         token = os.environ.get(ENV_TOKEN, "")
         if not token:
             raise ToolError(f"{ENV_TOKEN} is not set", EXIT_USAGE)
@@ -173,7 +174,7 @@
         try:
             return json.loads(client.fetch(request).body)
         except HTTPClientError as error:
-            raise ToolError(_describe(error)) from error
+            raise ToolError(_format_error(error)) from error
         except (OSError, ValueError) as error:
             raise ToolError(f"{self._url}: {error}") from error
         finally:
@@ -186,7 +187,7 @@
         sys.stdout.write(format_view(view))
 
 
-def _describe(error: HTTPClientError) -> str:
+def _format_error(error: HTTPClientError) -> str:
     body = error.response.body if error.response else b""
     try:
         failure = json.loads(body)["error"]
@@ -202,11 +203,11 @@
         raise ToolError(str(error)) from error
 
 
-def _plot(found: Losses, path: Path) -> None:
+def _plot(losses: Losses, path: Path) -> None:
     try:
-        plot_losses(found, path)
+        plot_losses(losses, path)
     except ImportError as error:
-        raise ToolError(f"a plot needs matplotlib: {error}") from error
+        raise ToolError(f"--plot requires matplotlib: {error}") from error
     except (OSError, ValueError) as error:
         raise ToolError(f"{path}: {error}") from error
 
@@ -221,18 +222,18 @@
         raise ToolError(str(error), EXIT_USAGE) from error
 
 
-def _build(contents: dict[str, bytes]) -> CompactIntent:
-    """Build the tree, or tell of each part that is wrong."""
+def _build_intent(contents: dict[str, bytes]) -> CompactIntent:
+    """Build the tree; raise an error that lists every invalid part."""
     models: list[TreePartModel] = []
-    wrong: list[str] = []
+    problems: list[str] = []
     for name, content in contents.items():
         parsed = parse_part(name, content)
         if isinstance(parsed, Success):
             models.append(parsed.unwrap())
         else:
-            wrong.append(parsed.failure().detail)
-    if wrong:
-        raise ToolError("\n".join(wrong))
+            problems.append(parsed.failure().detail)
+    if problems:
+        raise ToolError("\n".join(problems))
     built = build_intent(1, models)
     if not isinstance(built, Success):
         raise ToolError(built.failure().detail)
@@ -240,7 +241,7 @@
 
 
 def main() -> None:
-    """Read the command line."""
+    """Run the command that the arguments name."""
     try:
         fire.Fire(Tool, name="fescuekeel")
     except ToolError as error:
--- a/fescuekeel/collector.py
+++ b/fescuekeel/collector.py
@@ -1,25 +1,27 @@
-"""Pause garbage collection while the daemon is imported and started.
+"""Disable garbage collection until the daemon has started.
 
-Imports make hundreds of thousands of objects that all stay, and each pass of
-the collector goes through them in vain. Importing this module pauses it, so
-that it has to come before the modules that are large.
+Imports allocate hundreds of thousands of long-lived objects, which each
+collection would traverse without freeing any. Importing this module disables
+the collector, so it must be imported before all large modules.
 """
 
 import gc
 
 __all__ = ["resume"]
 
-# Young objects between two passes. Streams make some hundred a second, most of
-# which are freed without the collector.
-YOUNG_OBJECTS = 10_000
-YOUNG_PASSES = 20
-OLD_PASSES = 20
+# Allocations minus deallocations that trigger a collection. Most objects of a
+# stream are freed by reference counting.
+GENERATION_0_THRESHOLD = 10_000
+GENERATION_1_THRESHOLD = 20
+GENERATION_2_THRESHOLD = 20
 
 gc.disable()
 
 
 def resume() -> None:
-    """Collect again, but nothing of what the start has made."""
+    """Enable the collector, exempting all objects that exist by now."""
     gc.freeze()
-    gc.set_threshold(YOUNG_OBJECTS, YOUNG_PASSES, OLD_PASSES)
+    gc.set_threshold(
+        GENERATION_0_THRESHOLD, GENERATION_1_THRESHOLD, GENERATION_2_THRESHOLD
+    )
     gc.enable()
--- a/fescuekeel/core.py
+++ b/fescuekeel/core.py
@@ -1,4 +1,4 @@
-"""The kernel: message bus, actors, component registry and the instance."""
+"""The core: message bus, actors, component registry and the instance."""
 
 import asyncio
 import importlib
@@ -31,31 +31,31 @@
 M = TypeVar("M")
 Handler = Callable[[Any], None]
 PeerHandler = Callable[[PeerMessage], None]
-LOWEST_US = 1
-HIGHEST_US = 3_600_000_000
+MIN_DURATION_US = 1
+MAX_DURATION_US = 3_600_000_000
 SIGNIFICANT_FIGURES = 2
-# How much longer than shutdown_s one component may take to stop.
+# Added to shutdown_s as the limit for stopping one component.
 STOP_MARGIN_S = 5.0
 
 
 def read_clock() -> float:
-    """Return seconds of a steady clock that goes on during a suspension.
+    """Return monotonic time in seconds, including time spent suspended.
 
-    Guards against a machine that was suspended: the usual steady clock stands
-    still meanwhile, so that a lease checked on it is still valid at the
-    wake-up, although others have long taken it over.
+    CLOCK_MONOTONIC stops while the machine is suspended: a lease checked
+    against it would seem valid after resume although another instance has
+    taken it over.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Component(Protocol):
-    """Describe what the kernel asks of a component."""
+    """Interface that every component implements."""
 
     async def start(self) -> None:
-        """Begin work; return when the component can be used."""
+        """Start the component; return when it is ready for use."""
 
     async def stop(self) -> None:
-        """Finish work in progress and free every socket and task."""
+        """Finish work in progress and release all sockets and tasks."""
 
 
 Setup = Callable[["Instance"], Component]
@@ -63,11 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """Describe a component as its ``manifest.json`` does.
+    """The contents of a component's ``manifest.json``.
 
-    ``interface`` names the interface that needs the component, empty where
-    each does. A dependency that the instance's interface leaves out is passed
-    over.
+    ``interface`` names the only interface that uses the component; empty if
+    all do. Dependencies that the instance's interface excludes are ignored.
     """
 
     domain: str
@@ -77,7 +76,7 @@
 
 
 class Registry:
-    """Hold the set-up function of each component by its domain.
+    """Setup functions of the components, by domain.
 
     A component registers itself when its package is imported::
 
@@ -88,9 +87,9 @@
         self.setups_by_domain: dict[str, Setup] = {}
 
     def register(self, domain: str, setup: Setup) -> None:
-        """Add one component; a domain is registered once."""
+        """Register a component; raise if its domain is already registered."""
         if domain in self.setups_by_domain:
-            raise ValueError(f"component {domain!r} is registered twice")
+            raise ValueError(f"component {domain!r} is already registered")
         self.setups_by_domain[domain] = setup
 
 
@@ -116,7 +115,7 @@
 def select_manifests(
     manifests_by_domain: dict[str, Manifest], interface: str
 ) -> dict[str, Manifest]:
-    """Return the components of an interface.
+    """Return the manifests of the components that an interface uses.
 
     >>> manifest = Manifest("a", (), (), "completions")
     >>> select_manifests({"a": manifest}, "forwarding")
@@ -130,7 +129,7 @@
 
 
 def order_domains(manifests_by_domain: dict[str, Manifest]) -> list[str]:
-    """Sort domains so that each one comes after what it depends on.
+    """Return the domains in dependency order, dependencies first.
 
     >>> a = Manifest("a", ("b",), ())
     >>> b = Manifest("b", (), ())
@@ -144,7 +143,9 @@
         if domain in ordered:
             return
         if domain in visiting:
-            raise ValueError(f"component {domain!r} depends on itself")
+            raise ValueError(
+                f"component {domain!r} depends on itself, directly or indirectly"
+            )
         visiting.add(domain)
         for dependency in manifests_by_domain[domain].dependencies:
             if dependency in manifests_by_domain:
@@ -157,11 +158,11 @@
 
 
 class Bus:
-    """Carry typed messages between the components of one instance.
+    """In-process publish/subscribe between the components of an instance.
 
-    A handler is a plain function that returns at once: an actor's ``post``
-    or a short update of state. The last message of each type is kept, so a
-    snapshot such as the tree in force can be read without a round trip.
+    Handlers run synchronously and must not block: an actor's ``post`` or a
+    short state update. Messages sent with ``publish_state`` are retained, so
+    a snapshot such as the current tree can be read at any time.
     """
 
     def __init__(self) -> None:
@@ -169,48 +170,48 @@
         self._latest_by_type: dict[type, Any] = {}
         self._peer_handlers_by_type: dict[type, PeerHandler] = {}
 
-    def subscribe_peer(self, kind: type, handler: PeerHandler) -> None:
-        """Receive the peers' messages with a body of this type.
+    def subscribe_peer(self, body_type: type, handler: PeerHandler) -> None:
+        """Register the handler for peer messages with this type of body.
 
-        Each body type has one handler, so that each question has one answer.
+        Each body type has exactly one, so that a request gets one response.
         """
-        if kind in self._peer_handlers_by_type:
-            raise ValueError(f"{kind.__name__} has a handler already")
-        self._peer_handlers_by_type[kind] = handler
+        if body_type in self._peer_handlers_by_type:
+            raise ValueError(f"{body_type.__name__} already has a handler")
+        self._peer_handlers_by_type[body_type] = handler
 
     def publish_peer(self, message: PeerMessage) -> bool:
-        """Hand over a peer's message; return whether anyone handles it."""
+        """Dispatch a peer's message; return whether it has a handler."""
         handler = self._peer_handlers_by_type.get(type(message.body))
         if handler is None:
             return False
         handler(message)
         return True
 
-    def subscribe(self, kind: type[M], handler: Callable[[M], None]) -> None:
-        """Call the handler for each message of exactly this type."""
-        self._handlers_by_type[kind].append(handler)
+    def subscribe(self, message_type: type[M], handler: Callable[[M], None]) -> None:
+        """Call the handler for each message of this type, not a subclass."""
+        self._handlers_by_type[message_type].append(handler)
 
     def publish(self, message: object) -> None:
-        """Hand a message to its subscribers, in the order they subscribed."""
+        """Call the subscribers of the message's type in subscription order."""
         for handler in self._handlers_by_type[type(message)]:
             handler(message)
 
     def publish_state(self, message: object) -> None:
-        """Publish a snapshot and keep it for ``latest``."""
+        """Publish a snapshot and retain it for ``latest``."""
         self._latest_by_type[type(message)] = message
         self.publish(message)
 
-    def latest(self, kind: type[M]) -> M | None:
-        """Return the last snapshot of this type, if there was one."""
-        return self._latest_by_type.get(kind)
+    def latest(self, message_type: type[M]) -> M | None:
+        """Return the retained snapshot of this type, if any."""
+        return self._latest_by_type.get(message_type)
 
 
 class Metrics:
-    """Hold this instance's counters and histograms by name.
+    """Counters, histograms and gauges of an instance, by name.
 
     Counter names are dotted, with the reason last, such as
-    ``refused.queue_full``. Histograms are in microseconds. A gauge is read
-    when somebody looks, and has a value for each of its labels.
+    ``refused.queue_full``. Histograms are in microseconds. Gauges are read on
+    each scrape and have a value for each label.
     """
 
     def __init__(self) -> None:
@@ -219,7 +220,7 @@
         self.gauges_by_name: dict[str, Callable[[], Mapping[str, float]]] = {}
 
     def count(self, name: str, by: int = 1) -> None:
-        """Add to a counter."""
+        """Increment a counter."""
         self.counters_by_name[name] += by
 
     def add_gauge(self, name: str, read: Callable[[], Mapping[str, float]]) -> None:
@@ -227,19 +228,21 @@
         self.gauges_by_name[name] = read
 
     def observe(self, name: str, seconds: float) -> None:
-        """Record a duration in seconds."""
+        """Record a duration in a histogram."""
         histogram = self.histograms_by_name.get(name)
         if histogram is None:
-            histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_FIGURES)
+            histogram = HdrHistogram(
+                MIN_DURATION_US, MAX_DURATION_US, SIGNIFICANT_FIGURES
+            )
             self.histograms_by_name[name] = histogram
-        histogram.record_value(max(LOWEST_US, int(seconds * 1e6)))
+        histogram.record_value(max(MIN_DURATION_US, int(seconds * 1e6)))
 
 
 class Actor:
-    """Own a mailbox and handle one message after another in one task.
+    """Process messages from a mailbox sequentially in one task.
 
-    A subclass implements ``handle``. A message whose handling raises is
-    logged and counted; the actor goes on with the next one.
+    Subclasses implement ``handle``. An exception raised by it is logged and
+    counted, and the actor continues with the next message.
     """
 
     def __init__(self, instance: "Instance", name: str) -> None:
@@ -249,20 +252,20 @@
         self._task: asyncio.Task[None] | None = None
 
     def post(self, message: object) -> None:
-        """Put a message into the mailbox."""
+        """Enqueue a message without waiting."""
         self.mailbox.put_nowait(message)
 
     async def start(self) -> None:
-        """Start the task."""
+        """Start processing messages."""
         self._task = self.instance.spawn(self._run(), self.name)
 
     async def stop(self) -> None:
-        """Cancel the task."""
+        """Cancel the task without waiting for it to end."""
         if self._task is not None:
             self._task.cancel()
 
     async def handle(self, message: Any) -> None:
-        """Handle one message."""
+        """Process one message."""
         raise NotImplementedError
 
     async def _run(self) -> None:
@@ -277,7 +280,7 @@
 
 @dataclass
 class Instance:
-    """One running daemon: settings, bus, metrics, tasks and components."""
+    """A running daemon: settings, bus, metrics, tasks and components."""
 
     settings: Settings
     clock: Callable[[], float] = read_clock
@@ -289,18 +292,18 @@
 
     @property
     def id(self) -> str:
-        """Return this instance's identity."""
+        """Return the instance's id from the settings."""
         return self.settings.instance.id
 
     def now(self) -> float:
-        """Return monotonic time in seconds."""
+        """Return the time in seconds of the instance's monotonic clock."""
         return self.clock()
 
     def spawn(
-        self, work: Coroutine[Any, Any, M] | Awaitable[M], name: str
+        self, awaitable: Coroutine[Any, Any, M] | Awaitable[M], name: str
     ) -> asyncio.Task[M]:
-        """Start a task that is kept until it ends and logged if it fails."""
-        task: asyncio.Task[M] = asyncio.ensure_future(work)
+        """Start a background task; a failure is counted and logged."""
+        task: asyncio.Task[M] = asyncio.ensure_future(awaitable)
         task.set_name(name)
         self._tasks.add(task)
         task.add_done_callback(self._finish_task)
@@ -314,15 +317,15 @@
         log_event("task_error", task=task.get_name(), error=repr(task.exception()))
 
     def reload(self, settings: Settings) -> None:
-        """Take new settings into use and tell the components of them.
+        """Apply new settings and notify the components.
 
-        Identity, addresses and dialect stay as they were at the start.
+        Changes to id, addresses and dialect only take effect on a restart.
         """
         self.settings = settings
         self.bus.publish(SettingsReloaded())
 
     async def start(self) -> None:
-        """Import, set up and start every component in dependency order."""
+        """Import, set up and start the components in dependency order."""
         interface = self.settings.interface
         for domain in order_domains(select_manifests(read_manifests(), interface)):
             importlib.import_module(f"fescuekeel.components.{domain}")
@@ -333,7 +336,7 @@
             log_event("component_started", domain=domain)
 
     async def stop(self) -> None:
-        """Stop every component, the last started first."""
+        """Stop the components in reverse order, then cancel all tasks."""
         self.draining = True
         for domain in reversed(list(self.components_by_domain)):
             await self._stop_component(domain)
@@ -342,11 +345,11 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _stop_component(self, domain: str) -> None:
-        # A component that hangs on a silent connection must not keep the
-        # instance from leaving: the others still have work to hand over.
-        bound_s = self.settings.instance.shutdown_s + STOP_MARGIN_S
+        # A component that hangs on an unresponsive connection must not block
+        # the shutdown: the others still have work to hand over.
+        timeout_s = self.settings.instance.shutdown_s + STOP_MARGIN_S
         try:
-            async with asyncio.timeout(bound_s):
+            async with asyncio.timeout(timeout_s):
                 await self.components_by_domain[domain].stop()
         except TimeoutError:
             self.metrics.count("stop_timeout")
--- a/fescuekeel/daemon.py
+++ b/fescuekeel/daemon.py
@@ -1,10 +1,11 @@
-"""The daemon, the same on every instance."""
+"""The daemon process of an instance."""
 
 import signal
 
 if __name__ == "__main__":
-    # Loading the libraries takes a while, in which a signal to read the
-    # settings again would end the process; they are read after that.
+    # SIGHUP, which requests a settings reload, would terminate the process
+    # until a handler is installed. The settings are read after the imports,
+    # so ignoring it until then loses no change.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import asyncio
@@ -24,41 +25,42 @@
 
 EXIT_BAD_SETTINGS = 2
 USAGE = "usage: fescuekeeld [--settings=]SETTINGS.ini\n"
-# A file's time of change in nanoseconds, and its size in bytes.
-Stamp = tuple[int, int]
+# A file's modification time in nanoseconds and its size in bytes.
+FileStamp = tuple[int, int]
 
-# How often the settings file is looked at: it may change without a signal.
-SETTINGS_PERIOD_S = 2.0
+# Polls the settings file, since it may change without a SIGHUP.
+SETTINGS_POLL_INTERVAL_S = 2.0
 
 
 async def run(
-    settings: Settings, path: Path | None = None, stamp: Stamp | None = None
+    settings: Settings, path: Path | None = None, file_stamp: FileStamp | None = None
 ) -> None:
-    """Run one instance until it is told to stop.
+    """Run an instance until a signal or an operator stops it.
 
-    The settings file at ``path`` is read again on SIGHUP and when it changes.
-    ``stamp`` is that of the file before ``settings`` were read from it.
+    The settings file at ``path`` is reloaded on SIGHUP and when it changes.
+    ``file_stamp`` was taken before ``settings`` were read from the file, so
+    that a change during the start is detected.
     """
     instance = Instance(settings)
-    stopping = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    instance.bus.subscribe(DrainRequested, lambda asked: stopping.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    instance.bus.subscribe(DrainRequested, lambda message: stop_requested.set())
     if path is not None:
         loop.add_signal_handler(signal.SIGHUP, reload_settings, instance, path)
-        instance.spawn(watch_settings(instance, path, stamp), "settings")
+        instance.spawn(watch_settings(instance, path, file_stamp), "settings")
     await instance.start()
     collector.resume()
     log_event("instance_started", instance=instance.id)
-    await stopping.wait()
+    await stop_requested.wait()
     log_event("instance_stopping", instance=instance.id)
     await instance.stop()
     log_event("instance_stopped", instance=instance.id)
 
 
 def reload_settings(instance: Instance, path: Path) -> None:
-    """Read the settings again; invalid ones leave the old in force."""
+    """Reload the settings; keep the current ones if the file is invalid."""
     result = read_settings(path)
     if isinstance(result, Err):
         instance.metrics.count("reload.refused")
@@ -74,31 +76,31 @@
 
 
 async def watch_settings(
-    instance: Instance, path: Path, seen: Stamp | None = None
+    instance: Instance, path: Path, last_stamp: FileStamp | None = None
 ) -> None:
-    """Read the settings again whenever the file has another stamp."""
-    seen = seen or _read_stamp(path)
+    """Reload the settings whenever the file changes."""
+    last_stamp = last_stamp or _read_file_stamp(path)
     while True:
-        await asyncio.sleep(SETTINGS_PERIOD_S)
-        stamp = _read_stamp(path)
-        if stamp is not None and stamp != seen:
-            seen = stamp
+        await asyncio.sleep(SETTINGS_POLL_INTERVAL_S)
+        file_stamp = _read_file_stamp(path)
+        if file_stamp is not None and file_stamp != last_stamp:
+            last_stamp = file_stamp
             reload_settings(instance, path)
 
 
-def _read_stamp(path: Path) -> Stamp | None:
+def _read_file_stamp(path: Path) -> FileStamp | None:
     try:
         stat = path.stat()
     except OSError:
-        # A file that is being replaced is looked at again.
+        # The file may be missing while it is being replaced.
         return None
     return stat.st_mtime_ns, stat.st_size
 
 
-def start(settings: str) -> None:
-    """Start the daemon with the INI file SETTINGS."""
-    path = Path(settings)
-    stamp = _read_stamp(path)
+def start(settings_path: str) -> None:
+    """Run the daemon with the settings file at this path."""
+    path = Path(settings_path)
+    file_stamp = _read_file_stamp(path)
     result = read_settings(path)
     if isinstance(result, Err):
         sys.stderr.write(f"fescuekeeld: {result.failure().detail}\n")
@@ -106,33 +108,34 @@
     destination = LineDestination()
     destination.start()
     try:
-        asyncio.run(run(result.unwrap(), path, stamp))
+        asyncio.run(run(result.unwrap(), path, file_stamp))
     finally:
         destination.stop()
 
 
 def main() -> None:
-    """Read the command line: the path of the settings file and nothing else.
+    """Parse the command line and run the daemon.
 
-    By hand, since loading a library for it would make each start longer.
+    Parsed by hand, since importing a command-line library would slow down
+    every start.
     """
     arguments = sys.argv[1:]
     if arguments in (["-h"], ["--help"]):
         sys.stdout.write(USAGE)
         return
-    settings = find_settings(arguments)
-    if settings is None:
+    settings_path = parse_args(arguments)
+    if settings_path is None:
         sys.stderr.write(USAGE)
         raise SystemExit(EXIT_BAD_SETTINGS)
-    start(settings)
+    start(settings_path)
 
 
-def find_settings(arguments: Sequence[str]) -> str | None:
-    """Return the path that the command line names, ``None`` if it is wrong.
+def parse_args(arguments: Sequence[str]) -> str | None:
+    """Return the path of the settings file, ``None`` for invalid arguments.
 
-    >>> find_settings(["a.ini"]), find_settings(["--settings=a.ini"])
+    >>> parse_args(["a.ini"]), parse_args(["--settings=a.ini"])
     ('a.ini', 'a.ini')
-    >>> find_settings(["--settings", "a.ini"]), find_settings(["--port", "8"])
+    >>> parse_args(["--settings", "a.ini"]), parse_args(["--port", "8"])
     ('a.ini', None)
     """
     match arguments:
--- a/fescuekeel/errors.py
+++ b/fescuekeel/errors.py
@@ -1,13 +1,20 @@
-"""The closed list of error kinds and the answer that each one gives."""
+"""All error kinds and the response that the caller gets for each."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-__all__ = ["ANSWERS_BY_KIND", "Answer", "ErrorKind", "Failure", "Ran", "RetryReason"]
+__all__ = [
+    "RESPONSES_BY_KIND",
+    "ErrorKind",
+    "ErrorResponse",
+    "Failure",
+    "Ran",
+    "RetryReason",
+]
 
 
 class Ran(StrEnum):
-    """Tell whether a request ran on an endpoint."""
+    """Whether a request was executed by an endpoint."""
 
     NO = "no"
     YES = "yes"
@@ -15,7 +22,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Name every way in which a request can fail to get its answer."""
+    """Every reason for which a request can fail."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -52,7 +59,7 @@
 
 
 class RetryReason(StrEnum):
-    """Name every reason for which an attempt is made again."""
+    """Every reason for which a request is retried."""
 
     NOT_OWNER = "not_owner"
     OWNER_UNREACHABLE = "owner_unreachable"
@@ -66,12 +73,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """Describe what a caller is told for one error kind.
+class ErrorResponse:
+    """The response to the caller for an error kind.
 
-    ``ran`` is what holds whenever the kind is used; a failure may carry a
-    more certain value. ``retry`` says whether sending the same request again
-    later can help.
+    ``ran`` holds for all failures of the kind; a single failure may carry a
+    more specific value. ``retry`` tells whether the same request may succeed
+    later.
     """
 
     status: int
@@ -80,63 +87,90 @@
     text: str
 
 
-ANSWERS_BY_KIND: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(400, Ran.NO, False, "The request is malformed."),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, Ran.NO, False, "The body is too large."),
-    ErrorKind.UNAUTHENTICATED: Answer(401, Ran.NO, False, "The token is not known."),
-    ErrorKind.UNKNOWN_SERVICE: Answer(404, Ran.NO, False, "No such service."),
-    ErrorKind.UNKNOWN_ADAPTER: Answer(404, Ran.NO, False, "No such adapter."),
-    ErrorKind.UNKNOWN_VERSION: Answer(404, Ran.NO, False, "No such version."),
-    ErrorKind.TREE_NOT_READY: Answer(503, Ran.NO, True, "No settings in force yet."),
-    ErrorKind.CONFIGURATION_STALE: Answer(
+RESPONSES_BY_KIND: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(
+        400, Ran.NO, False, "The request is malformed."
+    ),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(
+        413, Ran.NO, False, "The body is too large."
+    ),
+    ErrorKind.UNAUTHENTICATED: ErrorResponse(
+        401, Ran.NO, False, "The token is not known."
+    ),
+    ErrorKind.UNKNOWN_SERVICE: ErrorResponse(404, Ran.NO, False, "No such service."),
+    ErrorKind.UNKNOWN_ADAPTER: ErrorResponse(404, Ran.NO, False, "No such adapter."),
+    ErrorKind.UNKNOWN_VERSION: ErrorResponse(404, Ran.NO, False, "No such version."),
+    ErrorKind.TREE_NOT_READY: ErrorResponse(
+        503, Ran.NO, True, "No settings in force yet."
+    ),
+    ErrorKind.CONFIGURATION_STALE: ErrorResponse(
         503, Ran.NO, True, "The settings in force may be out of date."
     ),
-    ErrorKind.RATE_LIMITED: Answer(429, Ran.NO, True, "The limit is reached."),
-    ErrorKind.QUEUE_FULL: Answer(503, Ran.NO, True, "The queue is full."),
-    ErrorKind.TOO_LATE: Answer(503, Ran.NO, True, "It cannot be answered in time."),
-    ErrorKind.EXPIRED: Answer(504, Ran.NO, True, "Its time passed in the queue."),
-    ErrorKind.NO_ENDPOINT: Answer(503, Ran.NO, True, "No endpoint can be reached."),
-    ErrorKind.NOT_OWNER: Answer(503, Ran.NO, True, "The owner has changed."),
-    ErrorKind.MOVED: Answer(503, Ran.NO, True, "It belongs to another endpoint."),
-    ErrorKind.LOAD_FAILED: Answer(503, Ran.NO, True, "The adapter did not load."),
-    ErrorKind.ENDPOINT_REFUSED: Answer(503, Ran.NO, True, "The endpoint refused."),
-    ErrorKind.DRAINING: Answer(503, Ran.NO, True, "The instance is leaving."),
-    ErrorKind.KEY_HOME_UNREACHABLE: Answer(
+    ErrorKind.RATE_LIMITED: ErrorResponse(429, Ran.NO, True, "The limit is reached."),
+    ErrorKind.QUEUE_FULL: ErrorResponse(503, Ran.NO, True, "The queue is full."),
+    ErrorKind.TOO_LATE: ErrorResponse(
+        503, Ran.NO, True, "It cannot be answered in time."
+    ),
+    ErrorKind.EXPIRED: ErrorResponse(
+        504, Ran.NO, True, "Its time passed in the queue."
+    ),
+    ErrorKind.NO_ENDPOINT: ErrorResponse(
+        503, Ran.NO, True, "No endpoint can be reached."
+    ),
+    ErrorKind.NOT_OWNER: ErrorResponse(503, Ran.NO, True, "The owner has changed."),
+    ErrorKind.MOVED: ErrorResponse(
+        503, Ran.NO, True, "It belongs to another endpoint."
+    ),
+    ErrorKind.LOAD_FAILED: ErrorResponse(
+        503, Ran.NO, True, "The adapter did not load."
+    ),
+    ErrorKind.ENDPOINT_REFUSED: ErrorResponse(
+        503, Ran.NO, True, "The endpoint refused."
+    ),
+    ErrorKind.DRAINING: ErrorResponse(503, Ran.NO, True, "The instance is leaving."),
+    ErrorKind.KEY_HOME_UNREACHABLE: ErrorResponse(
         503, Ran.NO, True, "The idempotency key could not be recorded."
     ),
-    ErrorKind.KEY_IN_PROGRESS: Answer(
+    ErrorKind.KEY_IN_PROGRESS: ErrorResponse(
         409, Ran.UNKNOWN, True, "A request with this key is in progress."
     ),
-    ErrorKind.KEY_USED: Answer(
+    ErrorKind.KEY_USED: ErrorResponse(
         409, Ran.YES, False, "A request with this key has run already."
     ),
-    ErrorKind.KEY_MISMATCH: Answer(
+    ErrorKind.KEY_MISMATCH: ErrorResponse(
         422, Ran.NO, False, "The key belongs to a different request."
     ),
-    ErrorKind.RETRY_BUDGET_SPENT: Answer(
+    ErrorKind.RETRY_BUDGET_SPENT: ErrorResponse(
         503, Ran.NO, True, "The service's retry budget is spent."
     ),
-    ErrorKind.CANCELLED: Answer(499, Ran.UNKNOWN, False, "The caller went away."),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(
+    ErrorKind.CANCELLED: ErrorResponse(
+        499, Ran.UNKNOWN, False, "The caller went away."
+    ),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
         502, Ran.UNKNOWN, False, "It may or may not have run."
     ),
-    ErrorKind.ANSWER_CUT: Answer(502, Ran.YES, False, "The answer was cut short."),
-    ErrorKind.PEER_UNREACHABLE: Answer(503, Ran.NO, True, "A peer did not answer."),
-    ErrorKind.STRANGER: Answer(403, Ran.NO, False, "The sender is not known."),
-    ErrorKind.BAD_FRAME: Answer(400, Ran.NO, False, "The frame is malformed."),
-    ErrorKind.INVALID_TREE: Answer(422, Ran.NO, False, "The tree is not valid."),
-    ErrorKind.INVALID_SETTINGS: Answer(
+    ErrorKind.ANSWER_CUT: ErrorResponse(
+        502, Ran.YES, False, "The answer was cut short."
+    ),
+    ErrorKind.PEER_UNREACHABLE: ErrorResponse(
+        503, Ran.NO, True, "A peer did not answer."
+    ),
+    ErrorKind.STRANGER: ErrorResponse(403, Ran.NO, False, "The sender is not known."),
+    ErrorKind.BAD_FRAME: ErrorResponse(400, Ran.NO, False, "The frame is malformed."),
+    ErrorKind.INVALID_TREE: ErrorResponse(422, Ran.NO, False, "The tree is not valid."),
+    ErrorKind.INVALID_SETTINGS: ErrorResponse(
         422, Ran.NO, False, "The settings are not valid."
     ),
-    ErrorKind.INTERNAL: Answer(500, Ran.UNKNOWN, False, "Something went wrong."),
+    ErrorKind.INTERNAL: ErrorResponse(500, Ran.UNKNOWN, False, "Something went wrong."),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Carry one failure from where it is found to where it is answered.
+    """A failure, passed from where it is detected to where it is reported.
 
-    ``retry_after_s`` is in seconds, zero when there is no hint.
+    ``retry_after_s`` is a hint for the caller in seconds; zero if there is
+    none.
 
     >>> Failure(ErrorKind.QUEUE_FULL, retry_after_s=2.0).answer.status
     503
@@ -148,11 +182,11 @@
     retry_after_s: float = 0.0
 
     @property
-    def answer(self) -> Answer:
-        """Return the table's answer for this kind."""
-        return ANSWERS_BY_KIND[self.kind]
+    def answer(self) -> ErrorResponse:
+        """Return the response for this kind."""
+        return RESPONSES_BY_KIND[self.kind]
 
     @property
     def outcome(self) -> Ran:
-        """Return whether the request ran, as far as it is known."""
+        """Return whether the request was executed, as far as is known."""
         return self.answer.ran if self.ran is None else self.ran
--- a/tests/common.py
+++ b/tests/common.py
@@ -28,18 +28,18 @@
 
 
 def make_settings(id: str = "i1", data_centre: str = "dc1") -> Settings:
-    """Return valid settings with free ports."""
+    """Return valid settings; the operating system chooses the ports."""
     return parse_settings(SETTINGS.format(id=id, data_centre=data_centre)).unwrap()
 
 
-POLL_S = 0.005
-PATIENCE_S = 15.0
+POLL_INTERVAL_S = 0.005
+EVENTUALLY_TIMEOUT_S = 15.0
 
 
 async def eventually(condition: Callable[[], object]) -> None:
-    """Wait until something holds; fail when it never does."""
-    for _ in range(int(PATIENCE_S / POLL_S)):
+    """Wait until the condition holds; fail after ``EVENTUALLY_TIMEOUT_S``."""
+    for _ in range(int(EVENTUALLY_TIMEOUT_S / POLL_INTERVAL_S)):
         if condition():
             return
-        await asyncio.sleep(POLL_S)
-    raise AssertionError("it never came to hold")
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise AssertionError("the condition was not met in time")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' tool."""
+"""Tests of the command-line tool for operators."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 
 def run_tool(monkeypatch, capsys, *arguments):
-    """Run the tool and return its exit code, output and messages."""
+    """Run the tool and return its exit code, standard output and error."""
     monkeypatch.setattr(sys, "argv", ["fescuekeel", *arguments])
     code = 0
     try:
@@ -38,8 +38,8 @@
 
 
 @pytest.fixture
-def served(monkeypatch):
-    """Serve an instance's operators' port from a thread of its own."""
+def operators_server(monkeypatch):
+    """Serve the operators' port of an instance in a separate thread."""
     loop = asyncio.new_event_loop()
     server = OperatorsServer(make_instance())
 
@@ -64,7 +64,7 @@
         assert (code, err) == (0, "")
         assert json.loads(out)["adapters_by_service"]["tricks/scripts"] == 2
 
-    def test_an_invalid_tree_names_each_wrong_part(self, run, tree):
+    def test_an_invalid_tree_reports_every_invalid_part(self, run, tree):
         (tree / "main.ini").write_text("[pool p]\nkind = other\n")
         (tree / "roster.ini").write_text("[roster a/b]\nnames = lonely\n")
         code, out, err = run("check", str(tree))
@@ -72,12 +72,12 @@
         assert "part main, section [pool p], key kind" in err
         assert "part roster, section [roster a/b], key names" in err
 
-    def test_a_directory_without_parts_is_wrong_use(self, run, tmp_path):
+    def test_a_directory_without_parts_is_a_usage_error(self, run, tmp_path):
         code, _, err = run("check", str(tmp_path))
         assert code == 2
         assert "no .ini files" in err
 
-    def test_manifest_publishes_what_was_checked(self, run, tree):
+    def test_manifest_is_printed_for_a_valid_revision_only(self, run, tree):
         code, out, _ = run("manifest", str(tree), "7")
         assert code == 0
         assert "revision = 7" in out
@@ -86,38 +86,37 @@
 
 class TestInstance:
     @pytest.mark.parametrize("command", ["show", "explain"])
-    def test_a_version_stays_text(self, run, served, command):
-        """The library of the command line would make 1.10 the number 1.1.
-
-        The operator would be shown another version than the one asked for.
-        """
-        asked = ("tricks", "scripts", "cups")
-        code, out, _ = run(command, *asked, "--version=1.10", "--json")
+    def test_a_version_is_not_parsed_as_a_number(self, run, operators_server, command):
+        """Version 1.10 must not become 1.1."""
+        arguments = ("tricks", "scripts", "cups")
+        code, out, _ = run(command, *arguments, "--version=1.10", "--json")
         assert code == 0
         assert "1.10" in out
-        code, out, _ = run(command, *asked, "1.9", "--json")
+        code, out, _ = run(command, *arguments, "1.9", "--json")
         assert code == 0
         assert "1.9" in out
 
-    def test_a_refusal_goes_to_the_error_stream(self, run, served):
+    def test_an_error_is_written_to_standard_error(self, run, operators_server):
         code, out, err = run("explain", "tricks", "scripts", "cups", "1.1")
         assert (code, out) == (1, "")
         assert "unknown_version" in err
 
     @pytest.mark.parametrize("command", ["status", "counters"])
-    def test_people_are_shown_text(self, run, served, command):
+    def test_output_is_text_without_the_json_flag(self, run, operators_server, command):
         code, out, _ = run(command)
         assert code == 0
         assert not out.startswith("{")
 
-    def test_drain_is_accepted(self, run, served):
+    def test_drain_is_accepted(self, run, operators_server):
         assert run("drain", "--json")[:2] == (0, '{"draining": true}\n')
 
-    def test_a_missing_token_is_wrong_use(self, run, monkeypatch):
+    def test_a_missing_token_is_a_usage_error(self, run, monkeypatch):
         monkeypatch.delenv(cli.ENV_TOKEN, raising=False)
         assert run("status")[0] == 2
 
-    def test_an_instance_out_of_reach_exits_with_one(self, run, served, monkeypatch):
+    def test_an_unreachable_instance_exits_with_one(
+        self, run, operators_server, monkeypatch
+    ):
         monkeypatch.setenv(cli.ENV_URL, "http://127.0.0.1:1")
         code, _, err = run("status")
         assert code == 1
@@ -125,7 +124,7 @@
 
 
 class TestHelp:
-    def test_it_names_each_command(self, run):
+    def test_all_commands_are_listed(self, run):
         code, out, messages = run("--help")
         assert code == 0
         commands = [name for name in vars(cli.Tool) if not name.startswith("_")]
@@ -144,7 +143,7 @@
         assert json.loads(out)["routes"]["r"]["on_time"] == 1
 
     @pytest.mark.parametrize("arguments", [(), ("/none.log",)])
-    def test_missing_files_are_named(self, run, arguments):
+    def test_missing_files_are_reported(self, run, arguments):
         code, _, err = run("losses", *arguments)
         assert code != 0
         assert "log file" in err or "/none.log" in err
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Tests of the kernel."""
+"""Tests of the core."""
 
 import asyncio
 
@@ -19,11 +19,11 @@
 class TestBus:
     def test_messages_reach_subscribers_of_their_type_only(self):
         bus = Bus()
-        seen = []
-        bus.subscribe(str, seen.append)
+        received = []
+        bus.subscribe(str, received.append)
         bus.publish(1)
         bus.publish("x")
-        assert seen == ["x"]
+        assert received == ["x"]
 
     def test_the_latest_state_can_be_read(self):
         bus = Bus()
@@ -34,25 +34,26 @@
 
 
 class TestRegistry:
-    def test_a_domain_is_registered_once(self):
+    def test_a_domain_cannot_be_registered_twice(self):
         registry = Registry()
         registry.register("a", lambda instance: None)
-        with pytest.raises(ValueError, match="twice"):
+        with pytest.raises(ValueError, match="already registered"):
             registry.register("a", lambda instance: None)
 
-    def test_a_circle_of_dependencies_is_an_error(self):
-        circle = {"a": Manifest("a", ("b",), ()), "b": Manifest("b", ("a",), ())}
+    def test_circular_dependencies_are_an_error(self):
+        manifests_by_domain = {
+            "a": Manifest("a", ("b",), ()),
+            "b": Manifest("b", ("a",), ()),
+        }
         with pytest.raises(ValueError, match="depends on itself"):
-            order_domains(circle)
+            order_domains(manifests_by_domain)
 
 
-class TestOrder:
-    def test_operators_can_watch_an_instance_drain(self):
-        """An operator drains an instance and its status is gone at once.
+class TestStartOrder:
+    def test_operators_port_outlives_the_owner(self):
+        """The status of a draining instance must stay available.
 
-        Components stop in the reverse order of their start. Had the
-        operators' port started after the owner, it would close first, and
-        nobody could see what still runs.
+        Components stop in the reverse of their start order.
         """
         order = order_domains(read_manifests())
         assert order.index("operators") < order.index("owner")
@@ -60,7 +61,7 @@
 
 
 class TestMetrics:
-    def test_durations_are_kept_in_microseconds(self):
+    def test_durations_are_recorded_in_microseconds(self):
         metrics = Metrics()
         metrics.observe("wait", 0.25)
         histogram = metrics.histograms_by_name["wait"]
@@ -68,14 +69,14 @@
 
 
 class TestActor:
-    def test_an_error_in_one_message_does_not_stop_the_next(self, instance):
-        seen = []
+    def test_an_error_in_one_message_does_not_stop_the_actor(self, instance):
+        handled = []
 
         class Echo(Actor):
             async def handle(self, message):
                 if message == "bad":
                     raise RuntimeError("bad message")
-                seen.append(message)
+                handled.append(message)
 
         async def run():
             actor = Echo(instance, "echo")
@@ -87,25 +88,21 @@
             await actor.stop()
 
         asyncio.run(run())
-        assert seen == ["good"]
+        assert handled == ["good"]
         assert instance.metrics.counters_by_name["actor_error.echo"] == 1
 
 
 class TestStop:
-    @pytest.mark.parametrize("takes_s, cut", [(0.05, 0), (60.0, 1)])
-    def test_a_component_gets_the_time_of_the_settings(
-        self, instance, monkeypatch, takes_s, cut
+    @pytest.mark.parametrize("stop_s, timeouts", [(0.05, 0), (60.0, 1)])
+    def test_shutdown_s_limits_how_long_a_component_may_stop(
+        self, instance, monkeypatch, stop_s, timeouts
     ):
-        """A long answer is cut after a minute although an hour is allowed.
-
-        The bound of a component's stop must follow shutdown_s; past it, a
-        component that hangs must not keep the others from stopping.
-        """
+        """A component that hangs must not keep the others from stopping."""
         stopped = []
 
         class Slow:
             async def stop(self):
-                await asyncio.sleep(takes_s)
+                await asyncio.sleep(stop_s)
                 stopped.append("slow")
 
         class Quick:
@@ -113,9 +110,11 @@
                 stopped.append("quick")
 
         monkeypatch.setattr("fescuekeel.core.STOP_MARGIN_S", 0.0)
-        own = structs.replace(instance.settings.instance, shutdown_s=0.5)
-        instance.settings = structs.replace(instance.settings, instance=own)
+        instance_settings = structs.replace(instance.settings.instance, shutdown_s=0.5)
+        instance.settings = structs.replace(
+            instance.settings, instance=instance_settings
+        )
         instance.components_by_domain = {"quick": Quick(), "slow": Slow()}
         asyncio.run(instance.stop())
-        assert stopped == (["quick"] if cut else ["slow", "quick"])
-        assert instance.metrics.counters_by_name["stop_timeout"] == cut
+        assert stopped == (["quick"] if timeouts else ["slow", "quick"])
+        assert instance.metrics.counters_by_name["stop_timeout"] == timeouts
--- a/tests/test_daemon_drain.py
+++ b/tests/test_daemon_drain.py
@@ -1,4 +1,4 @@
-"""Tests of a daemon that an operator drains."""
+"""Tests of draining a daemon over its operators' port."""
 
 import hashlib
 import re
@@ -11,14 +11,14 @@
 from tests.common import SETTINGS
 
 TOKEN = "operators-token"
-ZEROS = "0" * 64
+NO_DIGEST = "0" * 64
 TIMEOUT_S = 30
 
 
 @pytest.fixture
 def daemon(tmp_path):
     digest = hashlib.sha256(TOKEN.encode()).hexdigest()
-    text = SETTINGS.format(id="i1", data_centre="dc1").replace(ZEROS, digest)
+    text = SETTINGS.format(id="i1", data_centre="dc1").replace(NO_DIGEST, digest)
     path = tmp_path / "settings.ini"
     path.write_text(text)
     code = "from fescuekeel.daemon import main; main()"
@@ -30,11 +30,11 @@
 
 
 class TestDrain:
-    def test_a_drained_daemon_ends_by_itself(self, daemon):
+    def test_a_drained_daemon_exits(self, daemon):
         address = ""
         for line in daemon.stdout:
-            found = re.search(r"event=operators_listening address=(\S+)", line)
-            address = found[1] if found else address
+            match = re.search(r"event=operators_listening address=(\S+)", line)
+            address = match[1] if match else address
             if "event=instance_started" in line:
                 break
         client = HTTPClient()
@@ -46,6 +46,6 @@
         )
         client.close()
         assert response.code == 202
-        rest, _ = daemon.communicate(timeout=TIMEOUT_S)
-        assert "event=instance_stopped" in rest
+        output, _ = daemon.communicate(timeout=TIMEOUT_S)
+        assert "event=instance_stopped" in output
         assert daemon.returncode == 0
--- a/tests/test_daemon_reload.py
+++ b/tests/test_daemon_reload.py
@@ -1,4 +1,4 @@
-"""Tests of reading the daemon's settings again."""
+"""Tests of reloading the daemon's settings."""
 
 import asyncio
 import os
@@ -18,33 +18,32 @@
 
 
 class TestReload:
-    def make(self, tmp_path):
+    def make_instance(self, tmp_path):
         path = tmp_path / "settings.ini"
         path.write_text(TEXT)
         instance = Instance(read_settings(path).unwrap())
-        heard = []
-        instance.bus.subscribe(SettingsReloaded, heard.append)
-        return path, instance, heard
+        reloads = []
+        instance.bus.subscribe(SettingsReloaded, reloads.append)
+        return path, instance, reloads
 
-    def test_changed_settings_are_told(self, tmp_path):
-        path, instance, heard = self.make(tmp_path)
+    def test_changed_settings_are_announced(self, tmp_path):
+        path, instance, reloads = self.make_instance(tmp_path)
         path.write_text(TEXT.replace("[platform]", "seeds = 127.0.0.1:9\n[platform]"))
         daemon.reload_settings(instance, path)
         assert instance.settings.peers.seeds == ("127.0.0.1:9",)
-        assert len(heard) == 1
+        assert len(reloads) == 1
 
-    def test_invalid_settings_leave_the_old_ones_in_force(self, tmp_path):
-        path, instance, heard = self.make(tmp_path)
+    def test_invalid_settings_are_not_applied(self, tmp_path):
+        path, instance, reloads = self.make_instance(tmp_path)
         path.write_text("[instance]")
         daemon.reload_settings(instance, path)
         assert instance.settings.instance.id == "i1"
-        assert heard == []
+        assert reloads == []
 
-    def test_signal_does_not_end_the_daemon(self, tmp_path, monkeypatch):
-        """Every instance ended when the settings files were changed.
+    def test_sighup_does_not_terminate_the_daemon(self, tmp_path, monkeypatch):
+        """The platform announces changed settings by SIGHUP.
 
-        The platform tells of the change by a signal that ends a process that
-        does not handle it.
+        Its default action is to terminate the process.
         """
         path = tmp_path / "settings.ini"
         path.write_text(TEXT)
@@ -72,26 +71,25 @@
 
         asyncio.run(work())
 
-    def test_change_during_the_start_is_read(self, tmp_path, monkeypatch):
-        """Guards against a change that nobody reads."""
-        monkeypatch.setattr(daemon, "SETTINGS_PERIOD_S", 0.01)
-        path, instance, heard = self.make(tmp_path)
-        stamp = daemon._read_stamp(path)
+    def test_change_during_the_start_is_reloaded(self, tmp_path, monkeypatch):
+        """A change after the first read of the file must not be missed."""
+        monkeypatch.setattr(daemon, "SETTINGS_POLL_INTERVAL_S", 0.01)
+        path, instance, reloads = self.make_instance(tmp_path)
+        file_stamp = daemon._read_file_stamp(path)
         path.write_text(TEXT.replace("[platform]", "seeds = 127.0.0.1:9\n[platform]"))
 
         async def work():
             watching = asyncio.ensure_future(
-                daemon.watch_settings(instance, path, stamp)
+                daemon.watch_settings(instance, path, file_stamp)
             )
-            await eventually(lambda: heard)
+            await eventually(lambda: reloads)
             watching.cancel()
 
         asyncio.run(work())
 
 
 class TestReloadDuringTheStart:
-    def test_signal_while_libraries_load_does_not_end_the_daemon(self, tmp_path):
-        """Guards against a daemon that a change of its settings ends."""
+    def test_sighup_during_imports_does_not_terminate_the_daemon(self, tmp_path):
         path = tmp_path / "settings.ini"
         path.write_text(TEXT)
         process = subprocess.Popen(
@@ -100,14 +98,14 @@
             text=True,
         )
         try:
-            self.wait_until_libraries_load(process)
+            self.wait_until_imports_run(process)
             process.send_signal(signal.SIGHUP)
             assert any("event=instance_started" in line for line in process.stdout)
         finally:
             process.kill()
             process.communicate()
 
-    def wait_until_libraries_load(self, process):
+    def wait_until_imports_run(self, process):
         maps = Path(f"/proc/{process.pid}/maps")
         deadline = time.monotonic() + 30.0
         while "_asyncio" not in maps.read_text():
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Tests of what a daemon loads before it can serve."""
+"""Tests of the modules that a daemon imports at its start."""
 
 import json
 import subprocess
@@ -6,9 +6,9 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-# Libraries of the tool, of the other interface, or of tests: each would add
-# a tenth or more to the time in which a daemon starts.
-UNWANTED = {"eliot", "fire", "pydantic", "tornado.web", "jinja2", "pytest"}
+# Libraries of the command-line tool, of the other interface or of tests, each
+# of which would delay the start noticeably.
+UNNEEDED = {"eliot", "fire", "pydantic", "tornado.web", "jinja2", "pytest"}
 LIST_MODULES = """
 import importlib, json, sys
 sys.path.append("platform")
@@ -22,12 +22,8 @@
 
 
 class TestForwardingDaemon:
-    def test_it_loads_no_library_that_it_does_not_need(self):
-        """Callers waited for seconds after all instances had lost power.
-
-        Each loaded a library of models and one of command lines first, on
-        half of a core.
-        """
+    def test_no_unneeded_library_is_imported(self):
+        """Slow imports prolong an outage in which all instances restart."""
         run = subprocess.run(
             [sys.executable, "-c", LIST_MODULES],
             cwd=ROOT,
@@ -35,5 +31,5 @@
             check=True,
             text=True,
         )
-        loaded = set(json.loads(run.stdout))
-        assert loaded & UNWANTED == set()
+        imported = set(json.loads(run.stdout))
+        assert imported & UNNEEDED == set()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path: stand-ins and several instances in one process."""
+"""End-to-end tests: stand-ins and several instances in one process."""
 
 import asyncio
 import hashlib
@@ -54,7 +54,7 @@
 
 
 class World:
-    """A platform in two data centres with two instances in each."""
+    """A stand-in platform with two instances in each of two data centres."""
 
     def __init__(self, platform):
         self.platform = platform
@@ -91,12 +91,12 @@
         counters = (each.metrics.counters_by_name for each in self.instances)
         return sum(each[name] for each in counters)
 
-    def look(self, endpoint, adapter):
-        """Return how an endpoint that is owned stands to an adapter."""
+    def find_situation(self, endpoint, adapter):
+        """Return the owner's view of an adapter at an endpoint, if any."""
         owners = (each.components_by_domain["owner"] for each in self.instances)
-        held = (each.owners_by_endpoint.get(endpoint) for each in owners)
-        seen = (each.arrivals.look(adapter) for each in held if each is not None)
-        return next((each for each in seen if each is not None), None)
+        found = (each.owners_by_endpoint.get(endpoint) for each in owners)
+        situations = (each.arrivals.look(adapter) for each in found if each is not None)
+        return next((each for each in situations if each is not None), None)
 
     async def post(self, instance, path, body, **headers):
         address = instance.components_by_domain["gateway"].server.address
@@ -112,7 +112,7 @@
 
 @asynccontextmanager
 async def open_world():
-    """Start everything and stop it in the end."""
+    """Start a platform with instances; stop them on exit."""
     platform = await Platform.start(("dc1", "dc2"), loads_per_s=50.0)
     await platform.add_pool(Pool("script", PoolKind.ENGINE, slots=4), 2)
     await platform.add_pool(Pool("store", PoolKind.PLAIN), 2)
@@ -126,12 +126,12 @@
         await platform.stop()
 
 
-class TestWholePath:
+class TestEndToEnd:
     def test_every_instance_answers_with_the_right_adapter(self):
         async def run():
             async with open_world() as world:
                 for instance in world.instances:
-                    for model, runs_on in (
+                    for model, adapter_version in (
                         ("patter/cups", "cups@3"),
                         ("patter/cups@2", "cups@2"),
                         ("patter/rings@1.10", "rings@1.10"),
@@ -139,11 +139,11 @@
                         body = {"model": model, "prompt": "hi", "max_tokens": 5}
                         answer = await world.post(instance, "/v1/completions", body)
                         text = json.loads(answer.body)["choices"][0]["text"]
-                        assert text == expected_text(runs_on, "hi", 5)
+                        assert text == expected_text(adapter_version, "hi", 5)
 
         asyncio.run(run())
 
-    def test_a_stream_comes_whole_and_in_order(self):
+    def test_a_stream_is_complete_and_in_order(self):
         async def run():
             async with open_world() as world:
                 body = {"model": "patter/cups", "prompt": "hi", "max_tokens": 9}
@@ -152,14 +152,14 @@
                     answer = await world.post(instance, "/v1/completions", body)
                     *events, end = answer.body.decode().strip().split("\n\n")
                     assert end == "data: [DONE]"
-                    pieces = [json.loads(event[6:]) for event in events]
-                    text = "".join(each["choices"][0]["text"] for each in pieces)
+                    chunks = [json.loads(event[6:]) for event in events]
+                    text = "".join(each["choices"][0]["text"] for each in chunks)
                     assert text == expected_text("cups@3", "hi", 9)
 
         asyncio.run(run())
 
-    def test_a_request_that_is_moved_runs_once(self):
-        """The copy is not at home: its home's owner sends each one on."""
+    def test_a_redirected_request_runs_once(self):
+        """The home's owner redirects to the endpoint that has the adapter."""
 
         async def run():
             async with open_world() as world:
@@ -168,10 +168,10 @@
                 view = instance.bus.latest(MemberView)
                 adapter = AdapterRef("rings", "1.10")
                 home, other = rank_endpoints("script", adapter, view.endpoints_by_id)
-                await eventually(lambda: world.look(home, adapter))
-                await eventually(lambda: world.look(other, adapter))
+                await eventually(lambda: world.find_situation(home, adapter))
+                await eventually(lambda: world.find_situation(other, adapter))
                 engines[other].control({"loaded": [str(adapter)]})
-                await eventually(lambda: world.look(other, adapter).held)
+                await eventually(lambda: world.find_situation(other, adapter).held)
                 for model in ("vow/rings", "patter/rings"):
                     for instance in world.instances:
                         body = {"model": model, "prompt": "hi", "max_tokens": 5}
@@ -185,8 +185,8 @@
 
         asyncio.run(run())
 
-    def test_a_key_runs_once_whichever_instance_gets_it(self):
-        """A parent presses "pay" twice; the balancer picks two instances."""
+    def test_an_idempotency_key_is_honoured_by_all_instances(self):
+        """A retry that reaches another instance must not run again."""
 
         async def run():
             async with open_world() as world:
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""Tests that each refusal of the closed list is produced and tested."""
+"""Tests that every error kind is produced and tested."""
 
 import ast
 from pathlib import Path
@@ -19,7 +19,7 @@
 SECOND_CLAIM = f"{KEYS}::TestLedger::test_a_second_request_is_refused"
 FRAMES = "components/peers/test_frames.py::TestFrameReader"
 
-# Each test drives what finds the failure itself, not what passes it on.
+# Each test covers the code that detects the failure, not code that relays it.
 TESTS_BY_KIND = {
     ErrorKind.BAD_REQUEST: NAMED,
     ErrorKind.BODY_TOO_LARGE: f"{GATEWAY}::test_a_body_that_is_too_large_is_named",
@@ -94,9 +94,9 @@
 }
 
 
-def find(place):
-    """Return the syntax tree of a test, with its decorators."""
-    path, *names = place.split("::")
+def find_test(test_id):
+    """Return the syntax tree of a test, including its decorators."""
+    path, *names = test_id.split("::")
     node = ast.parse((ROOT / "tests" / path).read_text("utf-8"))
     for name in names:
         node = next(item for item in node.body if getattr(item, "name", "") == name)
@@ -104,7 +104,7 @@
 
 
 def list_kinds(node):
-    """Return the names of all kinds that a piece of code mentions."""
+    """Return the names of all error kinds used in a syntax tree."""
     return {
         item.attr
         for item in ast.walk(node)
@@ -114,15 +114,15 @@
     }
 
 
-class TestClosedList:
+class TestErrorKinds:
     @pytest.mark.parametrize("kind", ErrorKind)
-    def test_each_kind_is_expected_by_a_test(self, kind):
-        node = find(TESTS_BY_KIND[kind])
+    def test_each_kind_has_a_test(self, kind):
+        node = find_test(TESTS_BY_KIND[kind])
         assert kind.name in list_kinds(node)
         assert any(isinstance(item, ast.Assert) for item in ast.walk(node))
 
     @pytest.mark.parametrize("kind", ErrorKind)
-    def test_each_kind_is_used_by_the_system(self, kind):
+    def test_each_kind_is_used(self, kind):
         paths = (ROOT / "fescuekeel").rglob("*.py")
         sources = [path.read_text("utf-8") for path in paths if path.stem != "errors"]
         assert any(f"ErrorKind.{kind.name}" in source for source in sources)
