--- a/fescuekeel/components/operators/server.py
+++ b/fescuekeel/components/operators/server.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface, on a port of its own."""
+"""The HTTP interface for operators, on a separate port."""
 
 import hashlib
 import hmac
@@ -33,36 +33,36 @@
 
 
 class OperatorHandler(RequestHandler):
-    """Check the operator's token before anything else."""
+    """Base of all handlers; authenticates the operator first."""
 
     def initialize(self, instance: Instance) -> None:
-        """Take the instance that is shown."""
+        """Set the instance to show."""
         self.instance = instance
 
     def prepare(self) -> None:
-        """Refuse all but the holder of the operators' token."""
+        """Reject requests without the operators' token."""
         token = read_bearer(self.request.headers.get("Authorization", ""))
-        given = hashlib.sha256(token.encode()).hexdigest()
-        wanted = self.instance.settings.operators.token_sha256
-        if not hmac.compare_digest(given, wanted):
+        actual = hashlib.sha256(token.encode()).hexdigest()
+        expected = self.instance.settings.operators.token_sha256
+        if not hmac.compare_digest(actual, expected):
             self.instance.metrics.count("operators.unauthenticated")
-            self.fail(Failure(ErrorKind.UNAUTHENTICATED))
+            self.send_failure(Failure(ErrorKind.UNAUTHENTICATED))
 
-    def fail(self, failure: Failure) -> None:
-        """Answer with a failure of the closed list."""
+    def send_failure(self, failure: Failure) -> None:
+        """Respond with a failure as JSON."""
         self.set_status(failure.answer.status)
         text = failure.detail or failure.answer.text
         self.finish({"error": {"kind": failure.kind.value, "text": text}})
 
-    def answer(self, result: Result[View, Failure]) -> None:
-        """Answer with a view or a failure."""
+    def send_result(self, result: Result[View, Failure]) -> None:
+        """Respond with a view or a failure."""
         if isinstance(result, Success):
             self.finish(result.unwrap())
             return
-        self.fail(result.failure())
+        self.send_failure(result.failure())
 
-    def read_asked(self) -> tuple[str, str, str, str]:
-        """Return shop, service, adapter and version, empty if not given."""
+    def read_target(self) -> tuple[str, str, str, str]:
+        """Return shop, service, adapter and version, empty if absent."""
         names = ("shop", "service", "adapter", "version")
         shop, service, adapter, version = (
             self.get_query_argument(name, "") for name in names
@@ -71,10 +71,10 @@
 
 
 class StatusHandler(OperatorHandler):
-    """Show what this instance is, believes and owns."""
+    """Show this instance, its member table and what it owns."""
 
     def get(self) -> None:
-        """Answer with the status."""
+        """Respond with the status."""
         self.finish(show_status(self.instance))
 
 
@@ -82,31 +82,31 @@
     """Show counters and histograms."""
 
     def get(self) -> None:
-        """Answer with the counters."""
+        """Respond with the counters."""
         self.finish(show_counters(self.instance.metrics))
 
 
 class TreeHandler(OperatorHandler):
-    """Show what is in force."""
+    """Show the tree in force."""
 
     def get(self) -> None:
-        """Answer with the revision and the policy asked for."""
-        self.answer(show_tree(self.instance, *self.read_asked()))
+        """Respond with the revision and the requested policy."""
+        self.send_result(show_tree(self.instance, *self.read_target()))
 
 
 class ExplainHandler(OperatorHandler):
-    """Show where a request would go."""
+    """Show where a request would be routed."""
 
     def get(self) -> None:
-        """Answer with the ranking and its reason."""
-        self.answer(explain(self.instance, *self.read_asked()))
+        """Respond with the ranked endpoints and the reason."""
+        self.send_result(explain(self.instance, *self.read_target()))
 
 
 class DrainHandler(OperatorHandler):
     """Shut this instance down gracefully."""
 
     def post(self) -> None:
-        """Ask the daemon to stop."""
+        """Request a graceful stop of the daemon."""
         log_event("drain_requested", source=self.request.remote_ip)
         self.set_status(ACCEPTED)
         self.finish({"draining": True})
@@ -114,7 +114,7 @@
 
 
 class OperatorsServer:
-    """Listen for operators."""
+    """The HTTP server for operators."""
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
@@ -122,7 +122,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen at the address of the settings; port 0 takes a free one."""
+        """Listen on the configured address; port 0 picks a free port."""
         options = {"instance": self._instance}
         application = Application(
             [
@@ -147,7 +147,7 @@
         log_event("operators_listening", address=self.address)
 
     async def stop(self) -> None:
-        """Close the port."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.stop()
             await self._server.close_all_connections()
--- a/fescuekeel/components/operators/views.py
+++ b/fescuekeel/components/operators/views.py
@@ -1,4 +1,4 @@
-"""What operators are shown, as plain data; nothing secret is in it."""
+"""Views for operators as plain data, without secrets."""
 
 from dataclasses import asdict
 from typing import Any
@@ -28,9 +28,9 @@
 
 
 def show_status(instance: Instance) -> View:
-    """Return what this instance is, believes and owns."""
+    """Return this instance, its member table and what it owns."""
     bus = instance.bus
-    here = instance.settings.instance
+    own = instance.settings.instance
     view = bus.latest(MemberView) or MemberView()
     held = bus.latest(TreeHeld)
     owned = bus.latest(OwnedEndpoints)
@@ -44,8 +44,8 @@
         for id, entry in sorted(view.endpoints_by_id.items())
     }
     return {
-        "instance": here.id,
-        "data_centre": here.data_centre,
+        "instance": own.id,
+        "data_centre": own.data_centre,
         "draining": instance.draining,
         "tree": asdict(held) if held else None,
         "members": [asdict(member) for _, member in sorted(view.members_by_id.items())],
@@ -56,7 +56,7 @@
 
 
 def _list_without_work(live: LiveList | None, view: MemberView) -> list[str]:
-    """Return listed endpoints that get no work, such as those leaving."""
+    """Return endpoints on the live list without work, as when leaving."""
     if live is None:
         return []
     return sorted(
@@ -94,7 +94,7 @@
 def show_tree(
     instance: Instance, shop: str, service: str, adapter: str, version: str
 ) -> Result[View, Failure]:
-    """Return the revision in force, and what it says of one request."""
+    """Return the revision in force, and the policy if a service is given."""
     in_force = instance.bus.latest(TreeInForce)
     if in_force is None:
         return Err(Failure(ErrorKind.TREE_NOT_READY))
@@ -115,7 +115,7 @@
 def explain(
     instance: Instance, shop: str, service: str, adapter: str, version: str
 ) -> Result[View, Failure]:
-    """Return where a request would go, and why."""
+    """Return where a request would be routed, and why."""
     return _resolve(instance, shop, service, adapter, version).map(
         lambda policy: _explain_policy(instance, policy)
     )
@@ -141,11 +141,11 @@
         "pool": policy.pool.name,
         "urgency": policy.urgency,
         "candidates": candidates,
-        "why": _tell_why(policy, candidates),
+        "why": _describe_choice(policy, candidates),
     }
 
 
-def _tell_why(policy: Policy, candidates: list[View]) -> str:
+def _describe_choice(policy: Policy, candidates: list[View]) -> str:
     if not candidates:
         return f"pool {policy.pool.name} has no endpoint that may get work"
     if not policy.adapter:
--- a/fescuekeel/components/tree/component.py
+++ b/fescuekeel/components/tree/component.py
@@ -1,4 +1,4 @@
-"""The task that follows the published tree and passes it on."""
+"""The task that follows the published tree and publishes it on the bus."""
 
 import asyncio
 from typing import Any
@@ -7,24 +7,24 @@
 
 from fescuekeel.components.tree.const import DOMAIN, TICK_S
 from fescuekeel.components.tree.events import (
-    SERVICE,
-    AskManifest,
-    Count,
+    CONFIG_SERVICE,
     Effect,
     FetchRevision,
-    Heard,
-    MembersSeen,
+    MembersChanged,
     PutInForce,
+    ReportIgnored,
+    RequestManifest,
+    RevisionAdvertised,
     RevisionFailed,
-    RevisionTaken,
-    SetReading,
+    RevisionFetched,
+    SetReadMode,
     Tick,
 )
 from fescuekeel.components.tree.fetch import Fetcher
 from fescuekeel.components.tree.follower import Follower
 from fescuekeel.components.tree.model import TreeInForce
 from fescuekeel.components.tree.revision import TreeManifest
-from fescuekeel.components.tree.service import ServiceReader
+from fescuekeel.components.tree.service import ConfigServiceReader
 from fescuekeel.components.tree.snapshot import Snapshot, build_snapshot, pack
 from fescuekeel.core import Actor, Instance
 from fescuekeel.helpers.logging import log_event
@@ -43,26 +43,26 @@
 
 
 class TreeFollower(Actor):
-    """Own the snapshot in force and the one being taken."""
+    """Hold the snapshot in force and the one that is to replace it."""
 
     def __init__(self, instance: Instance) -> None:
         super().__init__(instance, DOMAIN)
-        here = instance.settings.instance
-        self._follower = Follower(here.id, here.data_centre, instance.now())
-        self._reader = ServiceReader(instance, self._post_manifest)
+        own = instance.settings.instance
+        self._follower = Follower(own.id, own.data_centre, instance.now())
+        self._reader = ConfigServiceReader(instance, self._post_manifest)
         self._fetcher = Fetcher(
             lambda: get_peer_link(instance), self._reader, instance.metrics.count
         )
         self._snapshot: Snapshot | None = None
-        self._taken: Snapshot | None = None
-        self._fetch: asyncio.Task[None] | None = None
-        self._last_counted: Count | None = None
+        self._validated: Snapshot | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
+        self._last_reported: ReportIgnored | None = None
 
     async def start(self) -> None:
-        """Listen to the others and begin to read."""
+        """Subscribe to members and peers, and start to read the tree."""
         bus = self.instance.bus
         bus.subscribe(MemberView, self._post_members)
-        bus.subscribe(TreeHeard, self._post_heard)
+        bus.subscribe(TreeHeard, self._post_advertised)
         bus.subscribe_peer(TreeAsk, self._answer)
         await self._reader.start()
         await super().start()
@@ -72,45 +72,47 @@
             self._post_members(view)
 
     async def stop(self) -> None:
-        """Stop reading; what is in force stays for requests in progress."""
+        """Stop reading; the tree in force stays for requests in progress."""
         await self._reader.stop()
         await super().stop()
 
     async def handle(self, message: Any) -> None:
-        """Let the follower decide and do what it says."""
+        """Pass a message to the follower and run the effects it returns."""
         for effect in self._follower.handle(message, self.instance.now()):
-            self._do(effect)
+            self._run_effect(effect)
 
-    def _do(self, effect: Effect) -> None:
+    def _run_effect(self, effect: Effect) -> None:
         match effect:
-            case SetReading():
-                self._reader.set_reading(effect)
-            case AskManifest():
-                self.instance.spawn(self._ask(effect), "tree.ask")
+            case SetReadMode():
+                self._reader.set_read_mode(effect)
+            case RequestManifest():
+                self.instance.spawn(self._request_manifest(effect), "tree.ask")
             case FetchRevision():
-                if self._fetch is not None:
-                    self._fetch.cancel()
-                self._fetch = self.instance.spawn(self._take(effect), "tree.fetch")
+                if self._fetch_task is not None:
+                    self._fetch_task.cancel()
+                self._fetch_task = self.instance.spawn(
+                    self._fetch_revision(effect), "tree.fetch"
+                )
             case PutInForce():
                 self._put_in_force()
-            case Count():
-                self._count(effect)
+            case ReportIgnored():
+                self._report_ignored(effect)
 
-    def _count(self, effect: Count) -> None:
-        self.instance.metrics.count(effect.name)
-        # A stale service offers the same each time that it is read.
-        if effect == self._last_counted:
+    def _report_ignored(self, effect: ReportIgnored) -> None:
+        self.instance.metrics.count(effect.counter)
+        # A stale configuration service returns the same revision every time.
+        if effect == self._last_reported:
             return
-        self._last_counted = effect
+        self._last_reported = effect
         log_event(
             "tree_ignored",
-            reason=effect.name,
+            reason=effect.counter,
             revision=effect.revision,
             digest=effect.digest,
             source=effect.source or "service",
         )
 
-    # What comes in.
+    # Events.
 
     async def _tick(self) -> None:
         while True:
@@ -121,34 +123,38 @@
         data_centres_by_id = {
             member.id: member.data_centre for member in view.members_by_id.values()
         }
-        listed = self.instance.bus.latest(LiveList) is not None
-        self.post(MembersSeen(data_centres_by_id, listed))
-
-    def _post_heard(self, heard: TreeHeard) -> None:
-        self.post(Heard(heard.revision, heard.digest, heard.holder))
+        live_list_read = self.instance.bus.latest(LiveList) is not None
+        self.post(MembersChanged(data_centres_by_id, live_list_read))
+
+    def _post_advertised(self, advertised: TreeHeard) -> None:
+        self.post(
+            RevisionAdvertised(
+                advertised.revision, advertised.digest, advertised.holder
+            )
+        )
 
     def _post_manifest(self, content: bytes) -> None:
-        self.post(self._fetcher.read_manifest(SERVICE, content))
+        self.post(self._fetcher.read_manifest(CONFIG_SERVICE, content))
 
-    # What is done.
+    # Effects.
 
-    async def _ask(self, effect: AskManifest) -> None:
-        self.post(await self._fetcher.ask_manifest(effect.peer, effect.revision))
+    async def _request_manifest(self, effect: RequestManifest) -> None:
+        self.post(await self._fetcher.request_manifest(effect.peer, effect.revision))
 
-    async def _take(self, effect: FetchRevision) -> None:
+    async def _fetch_revision(self, effect: FetchRevision) -> None:
         manifest = effect.manifest
         try:
             self.post(await self._fetch_and_build(manifest, effect.sources))
         except Exception as error:
-            # The follower waits for the end of a fetch before it begins the
-            # same one again; without this it would wait without end.
+            # The follower starts no fetch that it considers running: without
+            # this event it would never retry.
             log_event("tree_fetch_error", error=repr(error))
             self.post(RevisionFailed(manifest, invalid=False))
 
     async def _fetch_and_build(
         self, manifest: TreeManifest, sources: tuple[str, ...]
-    ) -> RevisionTaken | RevisionFailed:
-        previous = self._taken or self._snapshot
+    ) -> RevisionFetched | RevisionFailed:
+        previous = self._validated or self._snapshot
         contents = await self._fetcher.fetch_parts(manifest, sources, previous)
         if contents is None:
             return RevisionFailed(manifest, invalid=False)
@@ -157,15 +163,18 @@
             detail = result.failure().detail
             log_event("tree_refused", revision=manifest.revision, detail=detail)
             return RevisionFailed(manifest, invalid=True)
-        self._taken = result.unwrap()
-        return RevisionTaken(manifest)
+        self._validated = result.unwrap()
+        return RevisionFetched(manifest)
 
     def _put_in_force(self) -> None:
-        snapshot, self._taken = self._taken, None
+        snapshot, self._validated = self._validated, None
         if snapshot is None:
             return
-        held = self._snapshot
-        if held is not None and held.manifest.revision >= snapshot.manifest.revision:
+        current = self._snapshot
+        if (
+            current is not None
+            and current.manifest.revision >= snapshot.manifest.revision
+        ):
             return
         self._snapshot = snapshot
         manifest = snapshot.manifest
@@ -180,7 +189,10 @@
         get_peer_link(self.instance).answer(message, part)
 
     def _find_part(self, ask: TreeAsk) -> TreePart:
-        """Return what is held; for a manifest that may be a higher one."""
+        """Return the requested part or manifest; revision 0 means not held.
+
+        The manifest may be of a higher revision than requested.
+        """
         missing = TreePart(0, ask.name, b"")
         if self._snapshot is None:
             return missing
--- a/fescuekeel/components/tree/const.py
+++ b/fescuekeel/components/tree/const.py
@@ -15,15 +15,15 @@
 NAME_PATTERN: Final = r"[A-Za-z0-9._-]{1,64}"
 VERSION_PATTERN: Final = r"[A-Za-z0-9._-]{1,32}"
 
-# The configuration service holds values up to a megabyte.
+# Maximum size of a value in the configuration service.
 MAX_PART_BYTES: Final = 1024 * 1024
 MAX_PARTS: Final = 512
 
 KEY_MANIFEST: Final = "tree/manifest"
 KEY_PART: Final = "tree/{revision}/{name}"
 
-# How many instances of a data centre hold a watch, and how many calls a
-# second all the others of a data centre make together.
+# Instances per data centre that hold a watch, and polls per second that all
+# others of the data centre make together.
 WATCHERS_PER_DATA_CENTRE: Final = 2
 POLLS_PER_S: Final = 4.0
 MIN_POLL_S: Final = 2.0
@@ -35,13 +35,14 @@
 REQUEST_TIMEOUT_S: Final = 2.0
 PEER_TIMEOUT_S: Final = 1.0
 
-# A new instance asks its peers before it serves, at these times after it
-# started until they answer. It waits at least until the platform's list could
-# be read, and at most until the bound.
-START_ASKS_S: Final = (0.0, 0.5, 1.5)
-SETTLE_S: Final = 1.0
-START_BOUND_S: Final = 5.0
-PEERS_ASKED_AT_ONCE: Final = 32
+# A new instance requests the manifests of its peers before it puts a tree in
+# force, at these times after its start until they answer. The minimum leaves
+# time to read the platform's live list; after the maximum it no longer waits
+# for answers.
+STARTUP_REQUEST_DELAYS_S: Final = (0.0, 0.5, 1.5)
+MIN_STARTUP_S: Final = 1.0
+MAX_STARTUP_S: Final = 5.0
+MAX_STARTUP_REQUESTS: Final = 32
 
 TICK_S: Final = 0.25
 RETRY_S: Final = 0.25
--- a/fescuekeel/components/tree/events.py
+++ b/fescuekeel/components/tree/events.py
@@ -1,47 +1,47 @@
-"""Events that the tree's follower receives and effects it returns."""
+"""Events that the follower handles and effects that it returns."""
 
 from dataclasses import dataclass
 
 from fescuekeel.components.tree.revision import TreeManifest
 
 __all__ = [
-    "SERVICE",
-    "AskManifest",
-    "Count",
+    "CONFIG_SERVICE",
     "Effect",
     "Event",
     "FetchRevision",
-    "Heard",
     "ManifestRead",
-    "MembersSeen",
+    "MembersChanged",
     "PutInForce",
+    "ReportIgnored",
+    "RequestManifest",
+    "RevisionAdvertised",
     "RevisionFailed",
-    "RevisionTaken",
-    "SetReading",
+    "RevisionFetched",
+    "SetReadMode",
     "Tick",
 ]
 
 # The configuration service as a source; other sources are instance ids.
-SERVICE = ""
+CONFIG_SERVICE = ""
 
 
 # Events.
 
 
 @dataclass(frozen=True, slots=True)
-class MembersSeen:
-    """The instances that are not known dead, this one included.
+class MembersChanged:
+    """The instances that are not considered dead, this one included.
 
-    ``listed`` tells whether the platform's list has been read.
+    ``live_list_read`` tells whether the platform's live list has been read.
     """
 
     data_centres_by_id: dict[str, str]
-    listed: bool = True
+    live_list_read: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """Gossip told of a revision that ``holder`` holds."""
+class RevisionAdvertised:
+    """Gossip advertised a revision that ``holder`` holds."""
 
     revision: int
     digest: str
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ManifestRead:
-    """A source gave its manifest, or none: not held, or out of reach.
+    """A source returned a manifest, or ``None``: not held, or unreachable.
 
-    ``answered`` tells the two apart.
+    ``answered`` tells the two apart for peers.
     """
 
     source: str
@@ -61,8 +61,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RevisionTaken:
-    """Every part of a revision is here and the whole is valid."""
+class RevisionFetched:
+    """All parts of a revision are fetched, and they form a valid tree."""
 
     manifest: TreeManifest
 
@@ -77,26 +77,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passed."""
+    """The periodic timer fired."""
 
 
-Event = MembersSeen | Heard | ManifestRead | RevisionTaken | RevisionFailed | Tick
+Event = (
+    MembersChanged
+    | RevisionAdvertised
+    | ManifestRead
+    | RevisionFetched
+    | RevisionFailed
+    | Tick
+)
 
 
 # Effects.
 
 
 @dataclass(frozen=True, slots=True)
-class SetReading:
-    """Read the service by a watch, or else by a poll at this interval."""
+class SetReadMode:
+    """Read the configuration service by watch, or poll every ``poll_s``."""
 
     watch: bool
     poll_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class AskManifest:
-    """Ask a peer for a manifest; 0 asks for the highest that it holds."""
+class RequestManifest:
+    """Request a manifest from a peer; revision 0 requests its highest."""
 
     peer: str
     revision: int
@@ -104,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchRevision:
-    """Fetch the missing parts and validate, in place of any other fetch."""
+    """Fetch missing parts and validate; cancels any other fetch."""
 
     manifest: TreeManifest
     sources: tuple[str, ...]
@@ -112,19 +119,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PutInForce:
-    """Put the revision that was taken in force and pass it on."""
+    """Put the fetched revision in force and publish it on the bus."""
 
     manifest: TreeManifest
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
-    """Count and log something that an operator wants to know."""
+class ReportIgnored:
+    """Count and log a revision that is ignored or rejected."""
 
-    name: str
+    counter: str
     revision: int
     digest: str
     source: str
 
 
-Effect = SetReading | AskManifest | FetchRevision | PutInForce | Count
+Effect = SetReadMode | RequestManifest | FetchRevision | PutInForce | ReportIgnored
--- a/fescuekeel/components/tree/fetch.py
+++ b/fescuekeel/components/tree/fetch.py
@@ -1,4 +1,4 @@
-"""Fetching what a revision needs, from peers or the service."""
+"""Fetching manifests and parts from peers or the configuration service."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -6,7 +6,7 @@
 from returns.result import Success
 
 from fescuekeel.components.tree.const import PEER_TIMEOUT_S
-from fescuekeel.components.tree.events import SERVICE, ManifestRead
+from fescuekeel.components.tree.events import CONFIG_SERVICE, ManifestRead
 from fescuekeel.components.tree.revision import (
     TreeManifest,
     hash_content,
@@ -21,8 +21,8 @@
 MAX_SOURCES = 4
 
 
-class Service(Protocol):
-    """What is asked of the configuration service."""
+class ConfigService(Protocol):
+    """The configuration service, as the fetcher uses it."""
 
     async def read_manifest(self) -> bytes | None:
         """Read the manifest."""
@@ -32,30 +32,30 @@
 
 
 class Fetcher:
-    """Ask sources for manifests and parts."""
+    """Request manifests and parts from sources."""
 
     def __init__(
         self,
         get_link: Callable[[], PeerLink],
-        service: Service,
+        service: ConfigService,
         count: Callable[[str], None],
     ) -> None:
         self._get_link = get_link
         self._service = service
         self._count = count
 
-    async def ask_manifest(self, source: str, revision: int) -> ManifestRead:
-        """Ask a source for its manifest; the result is never an exception."""
-        if source == SERVICE:
+    async def request_manifest(self, source: str, revision: int) -> ManifestRead:
+        """Request the manifest of a source; failures are returned."""
+        if source == CONFIG_SERVICE:
             content = await self._service.read_manifest()
             return self.read_manifest(source, content)
-        answered, content = await self._ask_peer(source, revision, "")
+        answered, content = await self._request_from_peer(source, revision, "")
         if not answered:
             return ManifestRead(source, None, answered=False)
         return self.read_manifest(source, content)
 
     def read_manifest(self, source: str, content: bytes | None) -> ManifestRead:
-        """Parse what a source gave as its manifest."""
+        """Parse the manifest that a source returned."""
         if content is None:
             return ManifestRead(source, None)
         result = parse_manifest(content)
@@ -70,14 +70,14 @@
         sources: tuple[str, ...],
         previous: Snapshot | None,
     ) -> dict[str, bytes] | None:
-        """Fetch the parts that are not held, or return ``None``.
+        """Fetch the parts that are not held; ``None`` if one is unavailable.
 
-        A part counts only if its hash is that of the manifest: a service that
-        is stale, or a peer that has moved on, may give another one.
+        A part is accepted only if its hash matches the manifest: a stale
+        service, or a peer at another revision, may return another one.
         """
         held = previous.parts_by_hash if previous else {}
         contents_by_hash: dict[str, bytes] = {}
-        # The last source is the service, which stays in when the list is cut.
+        # The configuration service is last; it stays when the list is cut.
         chosen = [*sources[:-1][: MAX_SOURCES - 1], *sources[-1:]]
         for name, digest in manifest.hashes_by_part.items():
             if digest in held or digest in contents_by_hash:
@@ -95,27 +95,29 @@
             content = await self._read_part(source, manifest.revision, name)
             if content is not None and hash_content(content) == digest:
                 self._count(
-                    "tree.part.service" if source == SERVICE else "tree.part.peer"
+                    "tree.part.service"
+                    if source == CONFIG_SERVICE
+                    else "tree.part.peer"
                 )
                 return content
             self._count("tree.part.failed")
-            # A source that failed once goes last, so that a silent peer costs
-            # its timeout once and not for each part.
+            # A source that failed moves to the end, so that an unresponsive
+            # peer costs one timeout rather than one per part.
             sources.remove(source)
             sources.append(source)
         return None
 
     async def _read_part(self, source: str, revision: int, name: str) -> bytes | None:
-        if source == SERVICE:
+        if source == CONFIG_SERVICE:
             return await self._service.read_part(revision, name)
-        _, content = await self._ask_peer(source, revision, name)
+        _, content = await self._request_from_peer(source, revision, name)
         return content
 
-    async def _ask_peer(
+    async def _request_from_peer(
         self, peer: str, revision: int, name: str
     ) -> tuple[bool, bytes | None]:
-        ask = TreeAsk(revision, name)
-        result = await self._get_link().ask(peer, ask, PEER_TIMEOUT_S)
+        request = TreeAsk(revision, name)
+        result = await self._get_link().ask(peer, request, PEER_TIMEOUT_S)
         if not isinstance(result, Success):
             return False, None
         part = result.unwrap()
--- a/fescuekeel/components/tree/intent.py
+++ b/fescuekeel/components/tree/intent.py
@@ -12,7 +12,7 @@
 from fescuekeel.components.tree.levels import DEFAULT_LEVEL, Level, override
 from fescuekeel.components.tree.model import Policy, Pool, PoolKind
 from fescuekeel.components.tree.pacing import pace
-from fescuekeel.components.tree.parts import TreePartModel, describe_place
+from fescuekeel.components.tree.parts import TreePartModel, describe_location
 from fescuekeel.components.tree.roster import Roster
 from fescuekeel.components.tree.sections import Overrides
 from fescuekeel.errors import ErrorKind, Failure
@@ -24,13 +24,13 @@
 
 
 class _TreeError(Exception):
-    """Stop the building of a tree with a message for the operator."""
+    """The parts form no valid tree; the message is for the operator."""
 
 
 class CompactIntent:
-    """Implement ``Intent``; what is inherited is kept once a service.
+    """Implement ``Intent``, with inherited values stored once per service.
 
-    An adapter that overrides nothing is a line of its roster and no more.
+    An adapter without overrides takes only its line in the roster.
     """
 
     def __init__(
@@ -65,21 +65,20 @@
         return tuple(self._levels_by_path)
 
     def count_adapters(self, path: str) -> int:
-        """Return how many adapters a service has."""
+        """Return the number of adapters of a service."""
         return sum(map(len, self._rosters_by_path.get(path, ())))
 
     def authenticate(self, token: str) -> str | None:
-        """Return the shop whose token this is.
+        """Return the shop that a token belongs to.
 
-        Only the hash is looked up, so that the time which it takes tells
-        nothing of a token.
+        The lookup is by hash, so that its timing reveals nothing of a token.
         """
         return self._shops_by_token.get(hashlib.sha256(token.encode()).hexdigest())
 
     def resolve(
         self, shop: str, service: str, adapter: str, version: str
     ) -> Result[Policy, Failure]:
-        """Return the policy for a request, as ``Intent.resolve`` says."""
+        """Return the policy for a request; see ``Intent.resolve``."""
         path = f"{shop}/{service}"
         level = self._levels_by_path.get(path)
         if level is None:
@@ -135,7 +134,7 @@
 def build_intent(
     revision: int, parts: Iterable[TreePartModel]
 ) -> Result[CompactIntent, Failure]:
-    """Join validated parts and check what they say of each other.
+    """Join validated parts and check the references between them.
 
     >>> build_intent(1, []).unwrap().revision
     1
@@ -147,18 +146,20 @@
 
 
 class _Builder:
-    """Join parts, remembering which part each section came from."""
+    """Join parts and record which part defines each section."""
 
     def __init__(self, parts: list[TreePartModel]) -> None:
         self._parts = parts
         self._part_by_section: dict[str, str] = {}
 
     def build(self, revision: int) -> CompactIntent:
-        """Check and join all; raises ``_TreeError``."""
+        """Check and join the parts; raises ``_TreeError``."""
         pools = {
             name: Pool(name=name, **section.model_dump())
             for part in self._parts
-            for name, section in self._claim(part, "pool", part.pools_by_name)
+            for name, section in self._register_sections(
+                part, "pool", part.pools_by_name
+            )
         }
         shops_by_token, shop_levels = self._join_shops()
         levels = self._join_services(shop_levels, pools)
@@ -168,30 +169,32 @@
             revision, pools, shops_by_token, levels, overrides, rosters
         )
 
-    def _claim(
+    def _register_sections(
         self, part: TreePartModel, kind: str, sections: Mapping[str, V]
     ) -> Iterable[tuple[str, V]]:
         for path, section in sections.items():
             other = self._part_by_section.setdefault(f"{kind} {path}", part.name)
             if other != part.name:
-                place = describe_place(part.name, f"{kind} {path}")
-                raise _TreeError(f"{place}: stands in part {other} too")
+                location = describe_location(part.name, f"{kind} {path}")
+                raise _TreeError(f"{location}: also defined in part {other}")
             yield path, section
 
-    def _fail(self, section: str, key: str, text: str) -> _TreeError:
-        place = describe_place(self._part_by_section[section], section, key)
-        return _TreeError(f"{place}: {text}")
+    def _make_error(self, section: str, key: str, text: str) -> _TreeError:
+        location = describe_location(self._part_by_section[section], section, key)
+        return _TreeError(f"{location}: {text}")
 
     def _join_shops(self) -> tuple[dict[str, str], dict[str, Level]]:
         shops_by_token: dict[str, str] = {}
         levels: dict[str, Level] = {}
         for part in self._parts:
-            for shop, section in self._claim(part, "shop", part.shops_by_name):
+            for shop, section in self._register_sections(
+                part, "shop", part.shops_by_name
+            ):
                 levels[shop] = override(DEFAULT_LEVEL, section, shop)
                 for token in section.token_sha256:
                     if shops_by_token.setdefault(token, shop) != shop:
-                        text = "another shop has this token"
-                        raise self._fail(f"shop {shop}", CONF_TOKEN_SHA256, text)
+                        text = "another shop has the same token"
+                        raise self._make_error(f"shop {shop}", CONF_TOKEN_SHA256, text)
         return shops_by_token, levels
 
     def _join_services(
@@ -199,10 +202,14 @@
     ) -> dict[str, Level]:
         levels: dict[str, Level] = {}
         for part in self._parts:
-            for path, section in self._claim(part, "service", part.services_by_path):
+            for path, section in self._register_sections(
+                part, "service", part.services_by_path
+            ):
                 shop = path.partition("/")[0]
                 if shop not in shop_levels:
-                    raise self._fail(f"service {path}", "", f"no section [shop {shop}]")
+                    raise self._make_error(
+                        f"service {path}", "", f"no section [shop {shop}]"
+                    )
                 level = override(shop_levels[shop], section, path)
                 self._check_pool(f"service {path}", level, pools)
                 levels[path] = level
@@ -210,23 +217,25 @@
 
     def _check_pool(self, section: str, level: Level, pools: dict[str, Pool]) -> None:
         if not level.pool:
-            raise self._fail(section, "pool", "neither set nor inherited")
+            raise self._make_error(section, "pool", "neither set nor inherited")
         if level.pool not in pools:
-            raise self._fail(section, "pool", f"no section [pool {level.pool}]")
+            raise self._make_error(section, "pool", f"no section [pool {level.pool}]")
 
     def _join_rosters(
         self, levels: dict[str, Level], pools: dict[str, Pool]
     ) -> dict[str, tuple[Roster, ...]]:
         rosters: dict[str, tuple[Roster, ...]] = {}
         for part in self._parts:
-            # A roster may be spread over parts, since a part is bounded.
+            # A roster may span parts, since the size of a part is limited.
             for path, roster in part.rosters_by_path.items():
                 section = f"roster {path}"
                 self._part_by_section[section] = part.name
                 if path not in levels:
-                    raise self._fail(section, "", f"no section [service {path}]")
+                    raise self._make_error(section, "", f"no section [service {path}]")
                 if pools[levels[path].pool].kind != PoolKind.ENGINE:
-                    raise self._fail(section, "", "the service's pool is plain")
+                    raise self._make_error(
+                        section, "", "the service's pool is plain, not an engine pool"
+                    )
                 rosters[path] = (*rosters.get(path, ()), roster)
         for path, pieces in rosters.items():
             self._check_distinct(f"roster {path}", pieces)
@@ -235,9 +244,11 @@
     def _check_distinct(self, section: str, pieces: tuple[Roster, ...]) -> None:
         if len(pieces) < 2:
             return
-        for one, two in pairwise(pace(merge(*pieces))):
-            if one == two:
-                raise self._fail(section, "names", f"adapter {one!r} is listed twice")
+        for previous, current in pairwise(pace(merge(*pieces))):
+            if previous == current:
+                raise self._make_error(
+                    section, "names", f"adapter {previous!r} is listed twice"
+                )
 
     def _join_adapters(
         self,
@@ -247,15 +258,21 @@
     ) -> dict[str, Overrides]:
         overrides: dict[str, Overrides] = {}
         for part in self._parts:
-            for path, section in self._claim(part, "adapter", part.adapters_by_path):
+            for path, section in self._register_sections(
+                part, "adapter", part.adapters_by_path
+            ):
                 service, _, adapter = path.rpartition("/")
                 pieces = rosters.get(service, ())
                 if not any(roster.find(adapter) for roster in pieces):
                     text = f"not listed in [roster {service}]"
-                    raise self._fail(f"adapter {path}", "", text)
+                    raise self._make_error(f"adapter {path}", "", text)
                 level = override(levels[service], section, path)
                 self._check_pool(f"adapter {path}", level, pools)
                 if pools[level.pool].kind != PoolKind.ENGINE:
-                    raise self._fail(f"adapter {path}", "pool", "the pool is plain")
+                    raise self._make_error(
+                        f"adapter {path}",
+                        "pool",
+                        "the pool is plain, not an engine pool",
+                    )
                 overrides[path] = section
         return overrides
--- a/fescuekeel/components/tree/levels.py
+++ b/fescuekeel/components/tree/levels.py
@@ -1,4 +1,4 @@
-"""Inheritance: what a shop, a service and an adapter say together."""
+"""Inheritance of settings from shop to service to adapter."""
 
 from dataclasses import dataclass, fields, replace
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Level:
-    """The values in force at one level; an empty pool is none."""
+    """Settings at one level, with inherited ones; an empty pool is unset."""
 
     urgency: int = 1
     answer_s: float = 30.0
@@ -30,10 +30,9 @@
 
 
 def override(level: Level, overrides: Overrides, scope: str) -> Level:
-    """Return the level below, which replaces only what it sets.
+    """Return the next lower level, which replaces only the keys it sets.
 
-    A limit counts all that the level covers, so that the one above stays in
-    force beside it.
+    Limits are added, not replaced: each covers everything below its level.
 
     >>> shop = override(DEFAULT_LEVEL, Overrides(urgency=0, rate_per_s=5), "a")
     >>> service = override(shop, Overrides(max_in_flight=2), "a/b")
--- a/fescuekeel/components/tree/model.py
+++ b/fescuekeel/components/tree/model.py
@@ -1,4 +1,4 @@
-"""What the tree of settings says, resolved for one request."""
+"""Models of the published settings, resolved for one request."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -13,7 +13,7 @@
 
 
 class PoolKind(StrEnum):
-    """Name which driver speaks to the endpoints of a pool."""
+    """The driver that a pool's endpoints need."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -21,12 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """Describe a set of endpoints that can replace each other.
+    """A set of interchangeable endpoints.
 
-    ``fenced`` says that its endpoints refuse orders with an old fencing
-    number. ``slots`` is how many adapters one endpoint holds, ``max_running``
-    how many requests its step uses well, ``step_s`` the duration of a step
-    and ``load_s`` that of one load at full speed, both in seconds.
+    ``fenced`` says that they reject orders with an outdated fencing token.
+    ``slots`` is the number of adapters that an endpoint holds at a time,
+    ``max_running`` the number of requests that a step batches efficiently,
+    ``step_s`` the duration of a step and ``load_s`` that of one adapter load
+    at full speed, both in seconds.
     """
 
     name: str
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """One level's limit, for all that it covers together.
+    """The limits of one level, shared by everything below it.
 
     ``scope`` names the level, such as ``shop/service``. Zero means no limit.
     """
@@ -52,9 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Everything that the tree says about one request.
+    """The settings that apply to one request.
 
-    Urgency 0 is the most urgent. ``answer_s`` is how long an answer may take
+    Urgency 0 is the most urgent. ``answer_s`` is the time limit for an answer
     in seconds. ``retry_share`` is the retry budget as a share of the
     service's traffic. ``rate_per_s`` and ``max_in_flight`` of zero mean no
     limit; ``limits`` holds those of each level that sets any, the shop's
@@ -79,7 +80,7 @@
 
 
 class Intent(Protocol):
-    """Answer questions about one revision of the tree."""
+    """The settings of one revision of the tree."""
 
     @property
     def revision(self) -> int:
@@ -90,21 +91,21 @@
         """Return all pools."""
 
     def authenticate(self, token: str) -> str | None:
-        """Return the shop whose token this is."""
+        """Return the shop that a token belongs to."""
 
     def resolve(
         self, shop: str, service: str, adapter: str, version: str
     ) -> Result[Policy, Failure]:
         """Return the policy for a request.
 
-        An empty version asks for the adapter's current one, and an empty
-        adapter is right for plain services only. Fails with
+        An empty version selects the adapter's current one; an empty adapter
+        is valid for plain services only. Fails with
         ``unknown_service``, ``unknown_adapter`` or ``unknown_version``.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class TreeInForce:
-    """The snapshot on the bus: the revision that is in force here."""
+    """State on the bus: the revision in force on this instance."""
 
     intent: Intent
--- a/fescuekeel/components/tree/pacing.py
+++ b/fescuekeel/components/tree/pacing.py
@@ -1,4 +1,4 @@
-"""Pauses in long work that runs beside the event loop."""
+"""Pauses for long work in a thread beside the event loop."""
 
 import time
 from collections.abc import Iterable, Iterator
@@ -13,11 +13,10 @@
 
 
 def pace(items: Iterable[T], active: bool = True) -> Iterator[T]:
-    """Pass items on, with a pause after each slice.
+    """Yield the items, with a pause after each slice.
 
-    A thread that works on holds the interpreter lock, so that each turn of
-    the event loop waits for a whole switch interval, and streams stutter
-    while a tree is read. A pause gives the lock away sooner.
+    Guards against delayed streams while a tree is parsed: a busy thread keeps
+    the interpreter lock for a whole switch interval, a pause releases it.
 
     >>> list(pace("ab"))
     ['a', 'b']
--- a/fescuekeel/components/tree/parts.py
+++ b/fescuekeel/components/tree/parts.py
@@ -1,4 +1,4 @@
-"""Parsing of one part of the tree, on its own."""
+"""Parsing and validation of a single part of the tree."""
 
 import configparser
 import re
@@ -28,12 +28,12 @@
 )
 from fescuekeel.errors import ErrorKind, Failure
 
-__all__ = ["TreePartModel", "describe_place", "parse_part"]
+__all__ = ["TreePartModel", "describe_location", "parse_part"]
 
 S = TypeVar("S", bound=BaseModel)
 
-# A name with a line break in it cannot be read from a file.
-NO_DEFAULT_SECTION = "\n"
+# Disables the default section: no name in a file contains a line break.
+UNUSED_DEFAULT_SECTION = "\n"
 DEPTHS_BY_KIND = {
     SECTION_SHOP: 1,
     SECTION_POOL: 1,
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TreePartModel:
-    """The validated sections of one part, by ``SHOP/SERVICE/NAME``."""
+    """The validated sections of one part, by name or path."""
 
     name: str
     pools_by_name: dict[str, PoolSection] = field(default_factory=dict)
@@ -57,17 +57,17 @@
 
 
 class _SectionError(Exception):
-    """Stop the parsing of a part with a message for the operator."""
+    """A section is invalid; the message is for the operator."""
 
 
-def describe_place(part: str, section: str, key: str = "") -> str:
-    """Name a place for an operator.
+def describe_location(part: str, section: str, key: str = "") -> str:
+    """Describe where in the tree an error is.
 
-    >>> describe_place("main", "shop a", "urgency")
+    >>> describe_location("main", "shop a", "urgency")
     'part main, section [shop a], key urgency'
     """
-    place = f"part {part}, section [{section}]"
-    return f"{place}, key {key}" if key else place
+    location = f"part {part}, section [{section}]"
+    return f"{location}, key {key}" if key else location
 
 
 def parse_part(
@@ -82,23 +82,23 @@
     """
     parser = configparser.ConfigParser(
         interpolation=None,
-        default_section=NO_DEFAULT_SECTION,
+        default_section=UNUSED_DEFAULT_SECTION,
         strict=True,
     )
     parser.optionxform = str  # type: ignore[assignment,method-assign]
     if len(content) > MAX_PART_BYTES:
-        return _refuse(f"part {name}: more than {MAX_PART_BYTES} bytes")
+        return _reject(f"part {name}: more than {MAX_PART_BYTES} bytes")
     try:
         lines = pace(content.decode("utf-8").splitlines(), pause)
         parser.read_file(lines, source=name)
         return Success(_read_sections(name, parser, pause))
     except (configparser.Error, UnicodeDecodeError) as error:
-        return _refuse(f"part {name}: {' '.join(str(error).split())}")
+        return _reject(f"part {name}: {' '.join(str(error).split())}")
     except _SectionError as error:
-        return _refuse(str(error))
+        return _reject(str(error))
 
 
-def _refuse(detail: str) -> Result[TreePartModel, Failure]:
+def _reject(detail: str) -> Result[TreePartModel, Failure]:
     return Err(Failure(ErrorKind.INVALID_TREE, detail))
 
 
@@ -126,8 +126,8 @@
     match = SECTION_NAME.fullmatch(section)
     depth = DEPTHS_BY_KIND.get(match[1]) if match else None
     if match is None or depth is None or match[2].count("/") + 1 != depth:
-        place = describe_place(name, section[:80])
-        raise _SectionError(f"{place}: no such kind of section")
+        location = describe_location(name, section[:80])
+        raise _SectionError(f"{location}: unknown kind of section or wrong path")
     return match[1], match[2]
 
 
@@ -135,11 +135,11 @@
     try:
         return model.model_validate(raw)
     except ValidationError as error:
-        # The value itself is left out, since it may be a token's hash.
+        # The value is omitted, since it may be a token's hash.
         first = error.errors(include_input=False)[0]
         key = ".".join(map(str, first["loc"]))
-        place = describe_place(name, section, key)
-        raise _SectionError(f"{place}: {first['msg']}") from error
+        location = describe_location(name, section, key)
+        raise _SectionError(f"{location}: {first['msg']}") from error
 
 
 def _read_roster(raw: dict[str, str], name: str, section: str, pause: bool) -> Roster:
@@ -148,5 +148,5 @@
         lines = pace(names.splitlines(), pause)
         return pack_roster(line for line in lines if line.strip())
     except RosterError as error:
-        place = describe_place(name, section, CONF_NAMES)
-        raise _SectionError(f"{place}: {error}") from error
+        location = describe_location(name, section, CONF_NAMES)
+        raise _SectionError(f"{location}: {error}") from error
--- a/fescuekeel/components/tree/revision.py
+++ b/fescuekeel/components/tree/revision.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TreeManifest:
-    """One revision; ``digest`` is the hash of ``content``, as published."""
+    """One revision; ``digest`` is the SHA-256 of the published ``content``."""
 
     revision: int
     digest: str
@@ -37,7 +37,7 @@
     content: bytes
 
 
-class HeadModel(BaseModel):
+class ManifestHeader(BaseModel):
     """Validate the section ``tree``."""
 
     model_config = ConfigDict(extra="forbid")
@@ -50,18 +50,18 @@
 
     model_config = ConfigDict(extra="forbid")
 
-    tree: HeadModel
+    tree: ManifestHeader
     parts: dict[str, str] = Field(min_length=1, max_length=MAX_PARTS)
 
     @field_validator("parts")
     @classmethod
     def check_parts(cls, value: dict[str, str]) -> dict[str, str]:
-        """Ask for plain names and for hashes."""
+        """Check the names and hashes of the parts."""
         for name, digest in value.items():
             if not re.fullmatch(NAME_PATTERN, name):
-                raise ValueError(f"part {name[:80]!r} has a wrong name")
+                raise ValueError(f"part {name[:80]!r} has an invalid name")
             if not SHA256_HEX.fullmatch(digest):
-                raise ValueError(f"part {name}: not a SHA-256 in hex")
+                raise ValueError(f"part {name}: expected 64 lower-case hex digits")
         return value
 
 
@@ -74,22 +74,22 @@
     parser = configparser.ConfigParser(interpolation=None, default_section="\n")
     parser.optionxform = str  # type: ignore[assignment,method-assign]
     if len(content) > MAX_PART_BYTES:
-        return _refuse(f"more than {MAX_PART_BYTES} bytes")
+        return _reject(f"more than {MAX_PART_BYTES} bytes")
     try:
         parser.read_string(content.decode("utf-8"))
         raw = {name: dict(parser[name]) for name in parser.sections()}
         model = ManifestModel.model_validate(raw)
     except (configparser.Error, UnicodeDecodeError) as error:
-        return _refuse(" ".join(str(error).split()))
+        return _reject(" ".join(str(error).split()))
     except ValidationError as error:
         first = error.errors()[0]
-        place = ".".join(map(str, first["loc"]))
-        return _refuse(f"{place}: {first['msg']}")
+        location = ".".join(map(str, first["loc"]))
+        return _reject(f"{location}: {first['msg']}")
     digest = hash_content(content)
     return Success(TreeManifest(model.tree.revision, digest, model.parts, content))
 
 
-def _refuse(detail: str) -> Result[TreeManifest, Failure]:
+def _reject(detail: str) -> Result[TreeManifest, Failure]:
     return Err(Failure(ErrorKind.INVALID_TREE, f"manifest: {detail}"))
 
 
--- a/fescuekeel/components/tree/roster.py
+++ b/fescuekeel/components/tree/roster.py
@@ -13,14 +13,14 @@
 
 
 class RosterError(ValueError):
-    """Say which line of a roster is wrong."""
+    """A line of a roster is invalid."""
 
 
 class Roster:
     """Hold sorted lines ``name version [older...]`` in one block of bytes.
 
-    86,000 adapters as objects would take some 40 MB; here an adapter takes
-    its text and four bytes, and is found by bisection.
+    Saves memory: an adapter takes its text and four bytes. Lookup is by
+    bisection.
 
     >>> roster = pack_roster(["b 2 1", "a 1.10"])
     >>> roster.find("a"), roster.find("b"), roster.find("c")
@@ -57,7 +57,7 @@
 def _normalise(line: str) -> str:
     match = LINE.fullmatch(line)
     if match is None:
-        raise RosterError(f"{line[:80]!r} is not 'adapter version [older...]'")
+        raise RosterError(f"{line[:80]!r} does not match 'adapter version [older...]'")
     versions = match[2].split()
     if len(set(versions)) != len(versions):
         raise RosterError(f"{line[:80]!r} repeats a version")
--- a/fescuekeel/components/tree/sections.py
+++ b/fescuekeel/components/tree/sections.py
@@ -22,7 +22,7 @@
 
 
 class Section(BaseModel):
-    """Validate one section; unknown keys and endless numbers are errors."""
+    """Base of sections; rejects unknown keys, infinity and NaN."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, allow_inf_nan=False)
 
@@ -50,14 +50,14 @@
     @field_validator(CONF_TOKEN_SHA256, mode="before")
     @classmethod
     def split_hashes(cls, value: object) -> object:
-        """Split a comma-separated text; two allow a change without a stop."""
+        """Split at commas; two hashes allow rotation without downtime."""
         if not isinstance(value, str):
             return value
         hashes = tuple(part.strip() for part in value.split(","))
         if not 1 <= len(hashes) <= 2:
-            raise ValueError("one or two hashes are needed")
+            raise ValueError("expected one or two comma-separated hashes")
         if not all(SHA256_HEX.fullmatch(item) for item in hashes):
-            raise ValueError("a hash has 64 lower-case hexadecimal digits")
+            raise ValueError("expected hashes of 64 lower-case hexadecimal digits")
         return hashes
 
 
@@ -73,6 +73,6 @@
 
 
 class RosterSection(Section):
-    """The adapters of a service, one a line."""
+    """The adapters of a service, one per line."""
 
     names: str
--- a/fescuekeel/components/tree/service.py
+++ b/fescuekeel/components/tree/service.py
@@ -20,12 +20,12 @@
     WATCH_GRACE_S,
     WATCH_S,
 )
-from fescuekeel.components.tree.events import SetReading
+from fescuekeel.components.tree.events import SetReadMode
 from fescuekeel.core import Instance
 from fescuekeel.helpers.http import begin_fetch
 from fescuekeel.helpers.logging import log_event
 
-__all__ = ["ServiceReader"]
+__all__ = ["ConfigServiceReader"]
 
 HEADER_CHANGE = "X-Change"
 MAX_CLIENTS = 8
@@ -35,13 +35,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """A value as read; no content means that there is none, or no change."""
+    """A value as read; ``content`` is ``None`` if missing or unchanged."""
 
     content: bytes | None
     change: int
 
 
-class ServiceReader:
+class ConfigServiceReader:
     """Follow the manifest by watch or poll, and read parts on demand."""
 
     def __init__(self, instance: Instance, deliver: Callable[[bytes], None]) -> None:
@@ -49,11 +49,11 @@
         self._deliver = deliver
         self._client: AsyncHTTPClient | None = None
         self._task: asyncio.Task[None] | None = None
-        self._reading: SetReading | None = None
+        self._read_mode: SetReadMode | None = None
         self._failing = False
 
     async def start(self) -> None:
-        """Open the client; reading begins with ``set_reading``."""
+        """Open the client; reading starts with ``set_read_mode``."""
         self._client = SimpleAsyncHTTPClient(
             force_instance=True, max_clients=MAX_CLIENTS, max_body_size=MAX_PART_BYTES
         )
@@ -65,11 +65,11 @@
         if self._client is not None:
             self._client.close()
 
-    def set_reading(self, reading: SetReading) -> None:
-        """Change between watch and poll."""
-        changes_kind = self._reading is None or self._reading.watch != reading.watch
-        self._reading = reading
-        if not changes_kind:
+    def set_read_mode(self, mode: SetReadMode) -> None:
+        """Switch between watch and poll, or set another poll interval."""
+        kind_changed = self._read_mode is None or self._read_mode.watch != mode.watch
+        self._read_mode = mode
+        if not kind_changed:
             return
         if self._task is not None:
             self._task.cancel()
@@ -88,34 +88,34 @@
     async def _run(self) -> None:
         failures = 0
         while True:
-            assert self._reading is not None
-            # A plain read comes before each watch: a service restored from
-            # an old state counts changes from a lower number, and a watch
-            # above that would wait without end.
+            assert self._read_mode is not None
+            # Read before each watch: a service restored from a backup counts
+            # changes from a lower number, and a watch from a higher one would
+            # see none.
             value = await self._read(KEY_MANIFEST)
-            self._note(value)
+            self._record_result(value)
             if value is None:
                 failures += 1
                 wait_s = min(MAX_RETRY_S, RETRY_S * 2 ** min(failures, 8))
                 await asyncio.sleep(_jitter(wait_s))
                 continue
             failures = 0
-            if self._reading.watch:
+            if self._read_mode.watch:
                 await self._watch(value.change)
-                # A service that ends each watch at once would be called
-                # without a pause.
+                # Limits the rate of calls if the service ends each watch at
+                # once.
                 await asyncio.sleep(_jitter(RETRY_S))
             else:
-                await asyncio.sleep(_jitter(self._reading.poll_s))
+                await asyncio.sleep(_jitter(self._read_mode.poll_s))
 
     async def _watch(self, change: int) -> None:
         wait_s = _jitter(WATCH_S)
         path = f"/v1/watch/{KEY_MANIFEST}?after={change}&wait_s={wait_s:.1f}"
         value = await self._fetch(path, wait_s + WATCH_GRACE_S)
         if value is not None:
-            self._note(value)
+            self._record_result(value)
 
-    def _note(self, value: Value | None) -> None:
+    def _record_result(self, value: Value | None) -> None:
         if value is None:
             self._instance.metrics.count("tree.service_failed")
             if not self._failing:
@@ -148,8 +148,8 @@
                 return Value(None, 0)
             return None
         except Exception:
-            # The client passes on errors of sockets as they are, and the
-            # change number may be no number: either way nothing was read.
+            # Covers socket errors, which the client does not wrap, and a
+            # change header that is no number.
             return None
 
 
--- a/fescuekeel/components/tree/snapshot.py
+++ b/fescuekeel/components/tree/snapshot.py
@@ -1,4 +1,4 @@
-"""One whole revision: its parts, packed and parsed."""
+"""A complete revision: its parts, compressed and parsed."""
 
 import zlib
 from collections.abc import Mapping
@@ -12,12 +12,12 @@
 from fescuekeel.components.tree.revision import TreeManifest, hash_content
 from fescuekeel.errors import ErrorKind, Failure
 
-__all__ = ["HeldPart", "Snapshot", "build_snapshot", "pack", "unpack"]
+__all__ = ["Snapshot", "StoredPart", "build_snapshot", "pack", "unpack"]
 
 
 @dataclass(frozen=True, slots=True)
-class HeldPart:
-    """A part as it is passed on, and what it says."""
+class StoredPart:
+    """A part, compressed as it is sent to peers, and parsed."""
 
     packed: bytes
     model: TreePartModel
@@ -25,23 +25,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A valid revision; its parts are found by their hash."""
+    """A valid revision with its parts."""
 
     manifest: TreeManifest
     intent: CompactIntent
-    parts_by_hash: dict[str, HeldPart] = field(default_factory=dict)
+    parts_by_hash: dict[str, StoredPart] = field(default_factory=dict)
 
 
 def pack(content: bytes) -> bytes:
-    """Compress a part; rosters shrink to a fraction."""
+    """Compress a manifest or a part for peers."""
     return zlib.compress(content)
 
 
 def unpack(packed: bytes) -> bytes | None:
-    """Decompress what a peer sent, or return ``None``.
+    """Decompress what a peer sent; ``None`` if it is invalid or too large.
 
-    Guards against a small message that unpacks to any size, by a bound on
-    the output.
+    Guards against decompression bombs by a limit on the output.
 
     >>> unpack(pack(b"part"))
     b'part'
@@ -60,12 +59,11 @@
     contents_by_hash: Mapping[str, bytes],
     previous: Snapshot | None,
 ) -> Result[Snapshot, Failure]:
-    """Parse the parts that are new and join all; runs in a thread.
+    """Parse new parts and join all; called in a thread.
 
-    A part whose hash the previous snapshot knows under the same name is
-    taken from it as it stands.
+    A part that has the same name and hash in the previous snapshot is reused.
     """
-    parts_by_hash: dict[str, HeldPart] = {}
+    parts_by_hash: dict[str, StoredPart] = {}
     models: list[TreePartModel] = []
     for name, digest in manifest.hashes_by_part.items():
         held = previous.parts_by_hash.get(digest) if previous else None
@@ -74,12 +72,12 @@
             if content is None and held is not None:
                 content = unpack(held.packed)
             if content is None or hash_content(content) != digest:
-                detail = f"part {name}: its hash is not that of the manifest"
+                detail = f"part {name}: content does not match the hash in the manifest"
                 return Err(Failure(ErrorKind.INVALID_TREE, detail))
             parsed = parse_part(name, content, pause=True)
             if not isinstance(parsed, Success):
                 return Err(parsed.failure())
-            held = HeldPart(pack(content), parsed.unwrap())
+            held = StoredPart(pack(content), parsed.unwrap())
         parts_by_hash[digest] = held
         models.append(held.model)
     return build_intent(manifest.revision, models).map(
--- a/tests/components/operators/test_server.py
+++ b/tests/components/operators/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' interface."""
+"""Tests of the HTTP interface for operators."""
 
 import asyncio
 import hashlib
@@ -46,7 +46,7 @@
 
 
 def fetch(path, method="GET", token=TOKEN, instance=None):
-    """Return status and body of one call."""
+    """Return the status and the JSON body of a response."""
     instance = instance or make_instance()
 
     async def run():
@@ -71,7 +71,7 @@
     @pytest.mark.parametrize(
         "path", ["/status", "/counters", "/tree", "/explain", "/drain"]
     )
-    def test_each_path_asks_for_the_token(self, path):
+    def test_each_path_requires_the_token(self, path):
         instance = make_instance()
         drains = []
         instance.bus.subscribe(DrainRequested, drains.append)
@@ -81,7 +81,7 @@
         assert drains == []
         assert instance.metrics.counters_by_name["operators.unauthenticated"] == 1
 
-    def test_nothing_secret_is_shown(self):
+    def test_no_secret_is_shown(self):
         for path in ("/status", "/tree?shop=tricks&service=orders"):
             _, body = fetch(path)
             text = json.dumps(body)
@@ -95,7 +95,7 @@
         assert (status, body["tree"]["revision"]) == (200, 7)
         assert body["endpoints"]["e1"]["owner"] == "i1"
 
-    def test_counters_carry_percentiles(self):
+    def test_histograms_have_percentiles(self):
         instance = make_instance()
         instance.metrics.count("refused.queue_full", 3)
         instance.metrics.observe("request", 0.25)
@@ -107,7 +107,7 @@
         _, body = fetch("/tree?shop=tricks&service=scripts&adapter=cups&version=1.10")
         assert body["policy"]["adapter"] == {"name": "cups", "version": "1.10"}
 
-    def test_explain_names_home_and_owner(self):
+    def test_explain_names_endpoint_and_owner(self):
         _, body = fetch("/explain?shop=tricks&service=scripts&adapter=cups")
         assert body["adapter"] == "cups@1.10"
         assert body["candidates"][0] == {
@@ -116,13 +116,13 @@
             "owner": "i1",
         }
 
-    def test_an_unknown_version_is_a_failure_of_the_list(self):
+    def test_an_unknown_version_is_reported(self):
         status, body = fetch(
             "/explain?shop=tricks&service=scripts&adapter=balls&version=9"
         )
         assert (status, body["error"]["kind"]) == (404, "unknown_version")
 
-    def test_drain_asks_the_daemon_to_stop(self):
+    def test_drain_requests_a_stop_of_the_daemon(self):
         instance = make_instance()
         drains = []
         instance.bus.subscribe(DrainRequested, drains.append)
--- a/tests/components/tree/common.py
+++ b/tests/components/tree/common.py
@@ -1,4 +1,4 @@
-"""A small tree shared by the tests."""
+"""A small tree for tests."""
 
 import hashlib
 
@@ -44,7 +44,7 @@
 
 
 def make_contents(revision_note: str = "") -> dict[str, bytes]:
-    """Return the tree's parts; a note makes it a different one."""
+    """Return the parts of the tree; a note changes their content."""
     main = MAIN + f"# {revision_note}\n"
     return {"main": main.encode(), "roster": ROSTER.encode()}
 
--- a/tests/components/tree/test_component.py
+++ b/tests/components/tree/test_component.py
@@ -29,7 +29,7 @@
 
 
 class Link:
-    """Carry questions between instances of one process."""
+    """Carry requests between instances of one process."""
 
     def __init__(self, instances_by_id, id):
         self.instances_by_id = instances_by_id
@@ -45,15 +45,15 @@
         instance.bus.publish_peer(PeerMessage(self.id, 1, body))
         return Success(await self.answered)
 
-    def answer(self, question, body):
+    def answer(self, request, body):
         self.waiting.set_result(body)
 
     async def stop(self):
         pass
 
 
-class Service:
-    """A configuration service for tests: values by key, in memory."""
+class FakeConfigService:
+    """A configuration service that keeps values by key in memory."""
 
     def __init__(self):
         self.values_by_key = {}
@@ -98,7 +98,7 @@
 
 
 class CountedMetrics(Metrics):
-    """Tell of each count."""
+    """Set an event on each count."""
 
     def __init__(self, changed):
         super().__init__()
@@ -120,11 +120,11 @@
         instances_by_id[id] = self.instance
         self.changed = asyncio.Event()
         self.revisions = []
-        self.instance.bus.subscribe(TreeInForce, self.note)
+        self.instance.bus.subscribe(TreeInForce, self.record_revision)
         self.instance.metrics = CountedMetrics(self.changed)
         self.component = TreeFollower(self.instance)
 
-    def note(self, in_force):
+    def record_revision(self, in_force):
         self.revisions.append(in_force.intent.revision)
         self.changed.set()
 
@@ -153,15 +153,14 @@
 
 
 class TestTreeFollower:
-    def test_a_revision_reaches_who_has_no_service(self):
-        """i2's configuration service is down, i1's is not.
+    def test_a_revision_reaches_an_instance_without_config_service(self):
+        """Guards against an instance cut off with its configuration service.
 
-        A tree is published and then changed. i2 hears of it by gossip and
-        takes manifest and parts from i1.
+        Only i1 reaches its service; i2 must fetch from i1 after gossip.
         """
 
         async def run():
-            service = Service()
+            service = FakeConfigService()
             service.publish(1, make_contents())
             async with serve(service) as url:
                 nodes = {}
@@ -191,7 +190,7 @@
 
     def test_an_invalid_tree_leaves_the_last_one_in_force(self):
         async def run():
-            service = Service()
+            service = FakeConfigService()
             service.publish(1, make_contents())
             async with serve(service) as url:
                 node = Node({}, "i1", url)
@@ -206,11 +205,11 @@
 
         assert asyncio.run(run()).revisions == [1, 3]
 
-    def test_a_service_that_goes_back_changes_nothing(self):
-        """The service is restored from an old state, then set right again."""
+    def test_a_config_service_restored_from_a_backup_changes_nothing(self):
+        """Guards against a rollback by a service restored from a backup."""
 
         async def run():
-            service = Service()
+            service = FakeConfigService()
             service.publish(4, make_contents())
             service.change = 9
             async with serve(service) as url:
--- a/tests/components/tree/test_follower_fuzz.py
+++ b/tests/components/tree/test_follower_fuzz.py
@@ -4,15 +4,15 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from fescuekeel.components.tree.events import (
-    SERVICE,
-    AskManifest,
+    CONFIG_SERVICE,
     FetchRevision,
-    Heard,
     ManifestRead,
-    MembersSeen,
+    MembersChanged,
     PutInForce,
+    RequestManifest,
+    RevisionAdvertised,
     RevisionFailed,
-    RevisionTaken,
+    RevisionFetched,
     Tick,
 )
 from fescuekeel.components.tree.follower import Follower
@@ -28,7 +28,7 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Four instances, each with its own, perhaps stale, view of the service.
+    """Four instances that read the configuration service with a lag.
 
     The oracle sees what was published and what is in force where.
     """
@@ -38,11 +38,11 @@
         self.now = 0.0
         self.published = 0
         self.seen_by_id = dict.fromkeys(IDS, 0)
-        self.cut = set()
+        self.isolated_ids = set()
         self.messages = []
         self.followers_by_id = {}
         self.in_force_by_id = {}
-        self.least_by_id = {}
+        self.minimum_by_id = {}
         for id in IDS:
             self.start(id)
         self.published = 3
@@ -54,40 +54,42 @@
     def start(self, id):
         self.followers_by_id[id] = Follower(id, "dc1", self.now)
         self.in_force_by_id[id] = 0
-        self.least_by_id[id] = self.find_highest_near(id)
-        self.excuse_what_is_gone()
+        self.minimum_by_id[id] = self.find_highest_reachable(id)
+        self.lower_minimums()
         self.messages = [item for item in self.messages if item[0] != id]
-        self.post(id, MembersSeen(dict.fromkeys(IDS, "dc1")))
+        self.post(id, MembersChanged(dict.fromkeys(IDS, "dc1")))
 
-    def find_highest_near(self, id):
-        """Return what a fresh instance must not fall below."""
-        near = [peer for peer in IDS if peer != id and self.reaches(id, peer)]
-        return max((self.in_force_by_id.get(peer, 0) for peer in near), default=0)
+    def find_highest_reachable(self, id):
+        """Return the highest revision in force on reachable peers."""
+        reachable = [peer for peer in IDS if peer != id and self.can_reach(id, peer)]
+        return max((self.in_force_by_id.get(peer, 0) for peer in reachable), default=0)
 
-    def excuse_what_is_gone(self):
-        """Expect of an instance only what a peer in reach still holds."""
+    def lower_minimums(self):
+        """Lower the minimum of starting instances to what they can fetch."""
         for id, follower in self.followers_by_id.items():
-            if follower.starting and id in self.least_by_id:
-                least = self.find_highest_near(id)
-                self.least_by_id[id] = min(self.least_by_id[id], least)
+            if follower.starting and id in self.minimum_by_id:
+                minimum = self.find_highest_reachable(id)
+                self.minimum_by_id[id] = min(self.minimum_by_id[id], minimum)
 
-    def reaches(self, one, two):
-        return (one in self.cut) == (two in self.cut)
+    def can_reach(self, first, second):
+        return (first in self.isolated_ids) == (second in self.isolated_ids)
 
     def post(self, id, event):
         for effect in self.followers_by_id[id].handle(event, self.now):
-            if isinstance(effect, AskManifest | FetchRevision):
+            if isinstance(effect, RequestManifest | FetchRevision):
                 self.messages.append((id, effect))
             elif isinstance(effect, PutInForce):
                 revision = effect.manifest.revision
-                assert revision > self.in_force_by_id[id], "went back"
-                assert revision >= self.least_by_id[id], "older than its peers"
+                assert revision > self.in_force_by_id[id], "lower than before"
+                assert revision >= self.minimum_by_id[id], (
+                    "lower than that of its peers"
+                )
                 self.in_force_by_id[id] = revision
 
     def answer(self, id, effect):
-        if isinstance(effect, AskManifest):
+        if isinstance(effect, RequestManifest):
             held = self.in_force_by_id[effect.peer]
-            if not self.reaches(id, effect.peer):
+            if not self.can_reach(id, effect.peer):
                 self.post(id, ManifestRead(effect.peer, None, answered=False))
             elif held and held >= effect.revision:
                 self.post(id, ManifestRead(effect.peer, make_manifest(held)))
@@ -96,12 +98,12 @@
             return
         revision = effect.manifest.revision
         found = self.seen_by_id[id] >= revision or any(
-            source != SERVICE
-            and self.reaches(id, source)
+            source != CONFIG_SERVICE
+            and self.can_reach(id, source)
             and self.in_force_by_id[source] == revision
             for source in effect.sources
         )
-        event = RevisionTaken if found else RevisionFailed
+        event = RevisionFetched if found else RevisionFailed
         args = (effect.manifest,) if found else (effect.manifest, False)
         self.post(id, event(*args))
 
@@ -114,13 +116,13 @@
         self.seen_by_id[id] = max(0, self.published - lag)
         if self.seen_by_id[id]:
             manifest = make_manifest(self.seen_by_id[id])
-            self.post(id, ManifestRead(SERVICE, manifest))
+            self.post(id, ManifestRead(CONFIG_SERVICE, manifest))
 
-    @rule(teller=instances, hearer=instances)
-    def gossip(self, teller, hearer):
-        held = self.in_force_by_id[teller]
-        if held and self.reaches(teller, hearer):
-            self.post(hearer, Heard(held, f"d{held}", teller))
+    @rule(sender=instances, receiver=instances)
+    def gossip(self, sender, receiver):
+        held = self.in_force_by_id[sender]
+        if held and self.can_reach(sender, receiver):
+            self.post(receiver, RevisionAdvertised(held, f"d{held}", sender))
 
     @rule(index=st.integers(0, 20))
     def deliver(self, index):
@@ -137,7 +139,7 @@
 
     @rule(step=steps)
     def wait(self, step):
-        # Questions are answered or time out within a second.
+        # Requests are answered or time out within a second.
         if step >= 1.0:
             for _ in range(3):
                 batch, self.messages = self.messages, []
@@ -154,21 +156,21 @@
 
     @rule(ids=st.sets(instances))
     def partition(self, ids):
-        if self.cut != ids:
-            self.cut = ids
-            self.excuse_what_is_gone()
+        if self.isolated_ids != ids:
+            self.isolated_ids = ids
+            self.lower_minimums()
 
     @invariant()
     def nothing_unpublished_is_in_force(self):
         assert max(self.in_force_by_id.values()) <= self.published
 
     def teardown(self):
-        """Heal all and let gossip reach each one: all agree on the highest."""
-        self.cut = set()
+        """End the partition: all must agree on one revision after gossip."""
+        self.isolated_ids = set()
         for _ in range(30):
-            for teller in IDS:
-                for hearer in IDS:
-                    self.gossip(teller, hearer)
+            for sender in IDS:
+                for receiver in IDS:
+                    self.gossip(sender, receiver)
             self.wait(6.0)
         assert len(set(self.in_force_by_id.values())) == 1
 
--- a/tests/components/tree/test_intent.py
+++ b/tests/components/tree/test_intent.py
@@ -34,13 +34,13 @@
         older = intent.resolve("tricks", "scripts", "cups", "1.9").unwrap()
         assert [str(p.adapter) for p in (current, older)] == ["cups@1.10", "cups@1.9"]
 
-    def test_limits_of_each_level_stay_in_force(self):
+    def test_limits_of_each_level_apply(self):
         policy = build().unwrap().resolve("tricks", "orders", "", "").unwrap()
         assert [limit.scope for limit in policy.limits] == ["tricks", "tricks/orders"]
         assert not policy.repeatable
 
     @pytest.mark.parametrize(
-        ("asked", "kind"),
+        ("target", "kind"),
         [
             (("tricks", "none", "", ""), ErrorKind.UNKNOWN_SERVICE),
             (("other", "scripts", "cups", ""), ErrorKind.UNKNOWN_SERVICE),
@@ -50,18 +50,18 @@
             (("tricks", "scripts", "cups", "1.1"), ErrorKind.UNKNOWN_VERSION),
         ],
     )
-    def test_what_is_not_in_the_tree_is_refused(self, asked, kind):
-        assert build().unwrap().resolve(*asked).failure().kind == kind
+    def test_an_unknown_name_is_rejected(self, target, kind):
+        assert build().unwrap().resolve(*target).failure().kind == kind
 
-    def test_only_the_right_token_names_a_shop(self):
+    def test_only_the_token_of_a_shop_authenticates(self):
         intent = build().unwrap()
         assert intent.authenticate(TOKEN) == "tricks"
         assert intent.authenticate("") is None
 
 
-class TestRefusedTrees:
+class TestInvalidTrees:
     @pytest.mark.parametrize(
-        ("old", "new", "place"),
+        ("old", "new", "location"),
         [
             ("urgency = 0", "urgency = soon", "[service tricks/scripts], key urgency"),
             ("answer_s = 4", "answer_s = nan", "key answer_s"),
@@ -76,29 +76,29 @@
             ("kind = plain", "kind = plain\n[pool engines]", "pool engines"),
         ],
     )
-    def test_the_message_names_part_and_place(self, old, new, place):
+    def test_the_error_names_part_and_location(self, old, new, location):
         assert old in MAIN
         failure = build(main=MAIN.replace(old, new)).failure()
         assert failure.kind == ErrorKind.INVALID_TREE
         assert "main" in failure.detail
-        assert place in failure.detail
+        assert location in failure.detail
 
     @pytest.mark.parametrize(
         "line", ["cups 2", "lonely", "a@b 1", "twice 1 1", "accent\u00e9 1"]
     )
-    def test_a_wrong_roster_line_is_refused(self, line):
+    def test_a_malformed_roster_line_is_rejected(self, line):
         failure = build(roster=ROSTER + f"    {line}\n").failure()
         assert "part roster, section [roster tricks/scripts]" in failure.detail
 
-    def test_an_adapter_stands_in_one_roster_part_only(self):
+    def test_an_adapter_in_two_roster_parts_is_rejected(self):
         main = MAIN + "[roster tricks/scripts]\nnames = balls 1\n"
         assert "'balls' is listed twice" in build(main=main).failure().detail
 
-    def test_a_section_stands_in_one_part_only(self):
+    def test_a_section_in_two_parts_is_rejected(self):
         roster = ROSTER + "[pool plain]\nkind = plain\n"
-        assert "stands in part main too" in build(roster=roster).failure().detail
+        assert "also defined in part main" in build(roster=roster).failure().detail
 
-    def test_a_token_hash_is_never_repeated_in_a_message(self):
+    def test_an_error_never_contains_a_token_hash(self):
         failure = build(main=MAIN.replace("token_sha256 = ", "token_sha256 = 12zz"))
         assert "12zz" not in failure.failure().detail
 
@@ -114,6 +114,6 @@
             "[tree]\nrevision = 1\n[parts]",
         ],
     )
-    def test_a_wrong_manifest_is_refused(self, text):
+    def test_an_invalid_manifest_is_rejected(self, text):
         failure = parse_manifest(text.encode()).failure()
         assert failure.kind == ErrorKind.INVALID_TREE
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -15,7 +15,7 @@
 KEYS = "components/keys/test_decision.py"
 OWNER = "components/owner/test_endpoint.py"
 NAMED = f"{GATEWAY}::test_what_is_wrong_is_named"
-NOT_IN_TREE = f"{INTENT}::TestResolve::test_what_is_not_in_the_tree_is_refused"
+NOT_IN_TREE = f"{INTENT}::TestResolve::test_an_unknown_name_is_rejected"
 SECOND_CLAIM = f"{KEYS}::TestLedger::test_a_second_request_is_refused"
 FRAMES = "components/peers/test_frames.py::TestFrameReader"
 
@@ -85,7 +85,7 @@
         f"{FRAMES}::test_a_length_out_of_bounds_is_refused_before_its_bytes_come"
     ),
     ErrorKind.INVALID_TREE: (
-        f"{INTENT}::TestRefusedTrees::test_the_message_names_part_and_place"
+        f"{INTENT}::TestInvalidTrees::test_the_error_names_part_and_location"
     ),
     ErrorKind.INVALID_SETTINGS: (
         "helpers/test_settings.py::TestSettings::test_what_is_wrong_is_named"
