--- a/fescuekeel/components/tree/component.py
+++ b/fescuekeel/components/tree/component.py
@@ -5,6 +5,7 @@
 
 from returns.pipeline import is_successful
 
+from fescuekeel.components.tree.config_service import ConfigServiceReader
 from fescuekeel.components.tree.const import DOMAIN, TICK_S
 from fescuekeel.components.tree.events import (
     CONFIG_SERVICE,
@@ -24,7 +25,6 @@
 from fescuekeel.components.tree.follower import Follower
 from fescuekeel.components.tree.model import TreeInForce
 from fescuekeel.components.tree.revision import TreeManifest
-from fescuekeel.components.tree.service import ConfigServiceReader
 from fescuekeel.components.tree.snapshot import Snapshot, build_snapshot, pack
 from fescuekeel.core import Actor, Instance
 from fescuekeel.helpers.logging import log_event
