--- a/fescuekeel/components/tree/levels.py
+++ b/fescuekeel/components/tree/levels.py
@@ -32,7 +32,7 @@
 def override(level: Level, overrides: Overrides, scope: str) -> Level:
     """Return the next lower level, which replaces only the keys it sets.
 
-    Limits are added, not replaced: each covers everything below its level.
+    The limits of all levels apply: each covers everything below its level.
 
     >>> shop = override(DEFAULT_LEVEL, Overrides(urgency=0, rate_per_s=5), "a")
     >>> service = override(shop, Overrides(max_in_flight=2), "a/b")
--- a/tests/components/tree/test_component.py
+++ b/tests/components/tree/test_component.py
@@ -154,7 +154,7 @@
 
 class TestTreeFollower:
     def test_a_revision_reaches_an_instance_without_config_service(self):
-        """Guards against an instance cut off with its configuration service.
+        """Guards against missed revisions without a configuration service.
 
         Only i1 reaches its service; i2 must fetch from i1 after gossip.
         """
@@ -166,8 +166,8 @@
                 nodes = {}
                 one = Node(nodes, "i1", url)
                 two = Node(nodes, "i2", "http://127.0.0.1:1")
-                held = one.instance.bus
-                held.subscribe(
+                bus = one.instance.bus
+                bus.subscribe(
                     TreeHeld,
                     lambda held: two.instance.bus.publish(
                         TreeHeard(held.revision, held.digest, "i1")
