--- a/bench/policy/rivals.py
+++ b/bench/policy/rivals.py
@@ -12,7 +12,7 @@
 from bench.policy.traces import Deployment, Request, Trace
 from fescuekeel.components.gateway import routing
 from fescuekeel.components.owner.scheduling import decision, load_plan, model
-from fescuekeel.components.owner.scheduling.queue import Wait, WorkQueue
+from fescuekeel.components.owner.scheduling.queue import AdapterBacklog, WorkQueue
 from fescuekeel.messages import AdapterRef, LiveEntry, Member
 
 __all__ = ["Clairvoyant", "FirstCome", "Ours", "Policy", "Router", "Scheduler"]
@@ -144,9 +144,9 @@
 class FirstComePlan(load_plan.LoadPlan):
     """Load in order of arrival."""
 
-    def get_value(self, wait: Wait, now: float) -> float:
+    def get_value(self, backlog: AdapterBacklog, now: float) -> float:
         """Return more for what waits longer."""
-        return now - wait.oldest
+        return now - backlog.oldest_at
 
 
 def order_first_come(work: model.Work) -> tuple[int, float, str]:
--- a/fescuekeel/components/owner/arrivals.py
+++ b/fescuekeel/components/owner/arrivals.py
@@ -1,4 +1,4 @@
-"""The arrival of requests, and on which endpoint a load takes place."""
+"""Arrival of requests, and the choice of the endpoint that loads."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -17,115 +17,117 @@
 from fescuekeel.helpers.peer_link import PeerLink
 from fescuekeel.messages import AdapterRef, CopyAnswer, CopyAsk, MemberView
 
-__all__ = ["Arrivals", "Host", "make_answer"]
+__all__ = ["Arrivals", "Host", "make_copy_answer"]
 
 
 class Host(Protocol):
-    """What arrivals need of the owner that takes them in."""
+    """The parts of the endpoint's owner that ``Arrivals`` uses."""
 
     instance: Instance
     name: str
     endpoint: str
-    placed: model.Placed
+    assignment: model.EndpointAssignment
     link: PeerLink
     scheduler: EndpointScheduler
     requests: Requests
 
     def post(self, message: object) -> None:
-        """Put a message into the owner's mailbox."""
+        """Post a message to the owner's mailbox."""
 
     def find_refusal(self) -> ErrorKind | None:
-        """Return why nothing is taken in at this moment, if so."""
+        """Return why new requests are refused now, or ``None``."""
 
 
 class Arrivals:
-    """Take requests in, stay at the door until a load's place is known.
+    """Accept requests, or defer them until the endpoint of a load is known.
 
-    A request that needs a load waits for the word of the adapter's other
-    endpoint. Meanwhile it is neither queued nor accepted, so that whoever
-    gives it up knows that it did not run.
+    A request that needs a load waits for the owner of the adapter's other
+    candidate endpoint. Meanwhile it is neither queued nor accepted, so that
+    an entry that cancels it knows that it did not run.
     """
 
     def __init__(self, host: Host) -> None:
         self.host = host
-        self._waiting_by_adapter: dict[AdapterRef, list[model.SubmitCame]] = {}
+        self._waiting_by_adapter: dict[AdapterRef, list[model.SubmitReceived]] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether no request waits."""
+        """Return whether no request is deferred."""
         return not self._waiting_by_adapter
 
-    def submit(self, came: model.SubmitCame) -> None:
-        """Refuse a request, let it wait, or take it in."""
-        # A new attempt replaces what waits of an earlier one.
-        self.cancel(came.submit.request_id)
+    def submit(self, received: model.SubmitReceived) -> None:
+        """Refuse, defer or accept a request."""
+        # A new attempt replaces a deferred earlier one.
+        self.cancel(received.submit.request_id)
         kind = self.host.find_refusal()
         if kind is not None:
-            self.host.requests.refuse_submit(came, kind)
+            self.host.requests.refuse_submit(received, kind)
             return
-        if not self._hold(came):
-            self.host.requests.accept(came)
+        if not self._defer(received):
+            self.host.requests.accept(received)
 
-    def take_answer(self, told: model.CopyTold) -> None:
-        """Take in or send on what waited for this answer."""
-        answer = told.answer
-        here, there = self.look(told.adapter), _read(answer)
+    def handle_copy_answer(self, answered: model.CopyAnswered) -> None:
+        """Accept or redirect the requests that waited for this answer."""
+        answer = answered.answer
+        here, there = self.describe_candidate(answered.adapter), _parse_answer(answer)
         moves = here is not None and copies.should_move(here, there)
-        for came in self._waiting_by_adapter.pop(told.adapter, []):
+        for received in self._waiting_by_adapter.pop(answered.adapter, []):
             kind = self.host.find_refusal()
             if kind is not None:
-                self.host.requests.refuse_submit(came, kind)
+                self.host.requests.refuse_submit(received, kind)
             elif moves and answer is not None:
-                self.host.requests.refuse_moved(came, answer.endpoint)
+                self.host.requests.redirect_submit(received, answer.endpoint)
             else:
-                self.host.requests.accept(came)
+                self.host.requests.accept(received)
 
     def cancel(self, request_id: str, attempt: int | None = None) -> None:
-        """Drop a request that its entry has given up."""
+        """Drop a deferred request that its entry has cancelled."""
 
-        def is_meant(came: model.SubmitCame) -> bool:
-            same = came.submit.request_id == request_id
-            return same and attempt in (None, came.submit.attempt)
+        def matches(received: model.SubmitReceived) -> bool:
+            same = received.submit.request_id == request_id
+            return same and attempt in (None, received.submit.attempt)
 
-        self._take_out(is_meant)
+        self._remove_waiting(matches)
 
-    def lose_entry(self, entry: str) -> None:
-        """Refuse what waits of an instance that is gone."""
-        for came in self._take_out(lambda came: came.question.sender == entry):
-            self.host.requests.refuse_submit(came, ErrorKind.NOT_OWNER)
+    def handle_entry_lost(self, entry: str) -> None:
+        """Refuse the deferred requests of a lost entry."""
+        for received in self._remove_waiting(
+            lambda received: received.question.sender == entry
+        ):
+            self.host.requests.refuse_submit(received, ErrorKind.NOT_OWNER)
 
-    def look(self, adapter: AdapterRef) -> copies.Situation | None:
-        """Return how this endpoint stands to an adapter."""
+    def describe_candidate(self, adapter: AdapterRef) -> copies.LoadCandidate | None:
+        """Return this endpoint's state as a load candidate for an adapter."""
         now = self.host.instance.now()
         return copies.look(self.host.scheduler, adapter, now)
 
-    def _hold(self, came: model.SubmitCame) -> bool:
-        """Let a request that needs a load wait; tell whether it does."""
-        adapter = came.submit.adapter
-        if came.submit.moved or came.submit.resume or not adapter:
+    def _defer(self, received: model.SubmitReceived) -> bool:
+        """Defer a request that needs a load; return whether it is deferred."""
+        adapter = received.submit.adapter
+        if received.submit.moved or received.submit.resume or not adapter:
             return False
-        here = self.look(adapter)
+        here = self.describe_candidate(adapter)
         if here is None or here.held:
             return False
         waiting = self._waiting_by_adapter.get(adapter)
         if waiting is not None:
-            waiting.append(came)
+            waiting.append(received)
             return True
         ask = self._make_ask(adapter)
         if ask is None:
             return False
-        self._waiting_by_adapter[adapter] = [came]
+        self._waiting_by_adapter[adapter] = [received]
         self.host.instance.spawn(self._ask(*ask), f"{self.host.name}.copy")
         return True
 
-    def _take_out(
-        self, is_meant: Callable[[model.SubmitCame], bool]
-    ) -> list[model.SubmitCame]:
+    def _remove_waiting(
+        self, matches: Callable[[model.SubmitReceived], bool]
+    ) -> list[model.SubmitReceived]:
         taken = []
         for adapter, waiting in self._waiting_by_adapter.items():
-            taken += [came for came in waiting if is_meant(came)]
+            taken += [received for received in waiting if matches(received)]
             self._waiting_by_adapter[adapter] = [
-                came for came in waiting if not is_meant(came)
+                received for received in waiting if not matches(received)
             ]
         return taken
 
@@ -134,7 +136,7 @@
         if view is None:
             return None
         endpoints, members = view.endpoints_by_id, view.members_by_id
-        ranked = rank_alive(self.host.placed.pool.name, adapter, endpoints, members)
+        ranked = rank_alive(self.host.assignment.pool.name, adapter, endpoints, members)
         other = find_other(self.host.endpoint, ranked)
         if other is None:
             return None
@@ -147,24 +149,26 @@
         answer = None
         try:
             result = await self.host.link.ask(owner, ask, COPY_TIMEOUT_S)
-            told = result.unwrap() if is_successful(result) else None
-            answer = told if isinstance(told, CopyAnswer) else None
+            answered = result.unwrap() if is_successful(result) else None
+            answer = answered if isinstance(answered, CopyAnswer) else None
         finally:
-            # Whatever happens, what waits must hear of it.
-            self.host.post(model.CopyTold(ask.adapter, answer))
+            # Deferred requests must be released on any error.
+            self.host.post(model.CopyAnswered(ask.adapter, answer))
         if answer is None:
             metrics.count("owner.copy_unanswered")
 
 
-def make_answer(ask: CopyAsk, situation: copies.Situation | None) -> CopyAnswer:
-    """Return the answer to a question."""
-    if situation is None:
+def make_copy_answer(
+    ask: CopyAsk, candidate: copies.LoadCandidate | None
+) -> CopyAnswer:
+    """Return the answer to another owner's question about an adapter."""
+    if candidate is None:
         return CopyAnswer(ask.endpoint, owned=False)
-    held, score, queued = situation.held, situation.score, situation.queued
+    held, score, queued = candidate.held, candidate.score, candidate.queued
     return CopyAnswer(ask.endpoint, True, held, score, queued)
 
 
-def _read(answer: CopyAnswer | None) -> copies.Situation | None:
+def _parse_answer(answer: CopyAnswer | None) -> copies.LoadCandidate | None:
     if answer is None or not answer.owned:
         return None
-    return copies.Situation(answer.held, answer.score, answer.queued)
+    return copies.LoadCandidate(answer.held, answer.score, answer.queued)
--- a/fescuekeel/components/owner/component.py
+++ b/fescuekeel/components/owner/component.py
@@ -1,14 +1,14 @@
-"""The owner component: which endpoints are this instance's, and messages."""
+"""The owner component: assigns endpoints to owners and routes messages."""
 
 import asyncio
 import random
 from typing import cast
 
 from fescuekeel.components.owner import model
-from fescuekeel.components.owner.arrivals import make_answer
+from fescuekeel.components.owner.arrivals import make_copy_answer
 from fescuekeel.components.owner.const import (
-    LINGER_S,
     REPORT_PERIOD_S,
+    SHUTDOWN_CONFIRM_S,
     SNAPSHOT_PERIOD_S,
     TICK_S,
 )
@@ -43,7 +43,7 @@
 
 
 class Owner:
-    """Hold an ``EndpointOwner`` for each endpoint that is this instance's."""
+    """Run an ``EndpointOwner`` for each endpoint that this instance owns."""
 
     def __init__(self, instance: Instance) -> None:
         self.instance = instance
@@ -55,24 +55,24 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Begin to own what the view names."""
+        """Start owning the endpoints that the view assigns here."""
         bus = self.instance.bus
-        bus.subscribe_peer(Submit, self._take_submit)
-        bus.subscribe_peer(CancelWork, self._take_cancel)
+        bus.subscribe_peer(Submit, self._handle_submit)
+        bus.subscribe_peer(CancelWork, self._handle_cancel)
         bus.subscribe_peer(RunningAsk, self._answer_running)
-        bus.subscribe_peer(HandoverOffer, self._take_offer)
+        bus.subscribe_peer(HandoverOffer, self._handle_offer)
         bus.subscribe_peer(CopyAsk, self._answer_copy)
-        bus.subscribe(PeerLost, self._lose_peer)
-        bus.subscribe(MemberView, self._note_view)
-        self._note_view(bus.latest(MemberView) or MemberView())
+        bus.subscribe(PeerLost, self._handle_peer_lost)
+        bus.subscribe(MemberView, self._handle_view)
+        self._handle_view(bus.latest(MemberView) or MemberView())
         self._tasks = [
             self.instance.spawn(self._tick_forever(), "owner.tick"),
             self.instance.spawn(self._report_forever(), "owner.report"),
-            self.instance.spawn(self._show_forever(), "owner.show"),
+            self.instance.spawn(self._publish_forever(), "owner.show"),
         ]
 
     async def stop(self) -> None:
-        """Hand every endpoint over and let what runs come to its end."""
+        """Hand all endpoints over and wait for running requests to end."""
         self._drain()
         await self._wait_for_runs()
         for task in self._tasks:
@@ -81,7 +81,7 @@
             owner.end()
 
     def _drain(self) -> None:
-        """Hand every endpoint over to its next owner."""
+        """Hand all endpoints over to their next owners."""
         if self._drained:
             return
         self._drained = True
@@ -90,13 +90,13 @@
             successor = None
             if entry is not None:
                 successor = self.placement.find_owner(
-                    entry, self._view, without=self.instance.id
+                    entry, self._view, excluded=self.instance.id
                 )
-            owner.post(model.Drained(successor))
+            owner.post(model.DrainStarted(successor))
 
     async def _wait_for_runs(self) -> None:
-        # The next owner may ask whether the handover still holds.
-        await asyncio.sleep(LINGER_S if self.owners_by_endpoint else 0)
+        # The next owner may ask to confirm the handover.
+        await asyncio.sleep(SHUTDOWN_CONFIRM_S if self.owners_by_endpoint else 0)
         left_s = self.instance.settings.instance.shutdown_s
         while left_s > 0:
             await asyncio.sleep(DRAIN_POLL_S)
@@ -110,65 +110,72 @@
 
     async def _tick_forever(self) -> None:
         while True:
-            self._place_all()
+            self._update_assignments()
             for owner in self.owners_by_endpoint.values():
-                owner.post(model.Ticked())
+                owner.post(model.TimePassed())
             await asyncio.sleep(TICK_S)
 
-    def _place_all(self) -> None:
-        """Tell each endpoint's owner what the views say now.
+    def _update_assignments(self) -> None:
+        """Post the current assignment to each endpoint's owner.
 
-        It also renews the leases: only a loop that runs and a view that
-        still names this instance get here.
+        This also renews the leases, so it must run only in a live loop and
+        with the current view.
         """
         if self.instance.draining:
             self._drain()
             return
-        if self.placement.has_expired(self.instance.now()):
+        if self.placement.has_expired_handover(self.instance.now()):
             self._update_placement()
         for endpoint, owner_id in self.placement.owners_by_endpoint.items():
-            self._place(endpoint, owner_id)
+            self._update_assignment(endpoint, owner_id)
         for endpoint in list(self.owners_by_endpoint):
             if endpoint not in self._view.endpoints_by_id:
-                self._place_gone(endpoint)
+                self._release(endpoint)
 
     def _update_placement(self) -> None:
-        held = self.owners_by_endpoint.keys()
-        self.placement.update(self._view, held, self.instance.now())
+        owned = self.owners_by_endpoint.keys()
+        self.placement.update(self._view, owned, self.instance.now())
 
-    def _place(self, endpoint: str, owner_id: str | None) -> None:
+    def _update_assignment(self, endpoint: str, owner_id: str | None) -> None:
         entry = self._view.endpoints_by_id[endpoint]
         pool = self._find_pool(entry.pool)
         owner = self.owners_by_endpoint.get(endpoint)
         if pool is None:
             return
-        if owner is not None and owner.placed.entry.address != entry.address:
-            # It has come back elsewhere: what runs at the old address ends.
-            self._place_gone(endpoint)
+        if owner is not None and owner.assignment.entry.address != entry.address:
+            # The endpoint moved to another address: first finish the requests
+            # at the old one.
+            self._release(endpoint)
             return
         if owner is None and owner_id != self.instance.id:
             return
         peers = frozenset(self._view.members_by_id) - {self.instance.id}
-        placed = model.Placed(entry, pool, owner_id, peers)
+        assignment = model.EndpointAssignment(entry, pool, owner_id, peers)
         if owner is None:
-            owner = self._create(placed)
+            owner = self._create(assignment)
         elif owner_id != self.instance.id and self._remove_idle(owner):
             return
-        owner.post(placed)
+        owner.post(assignment)
 
-    def _create(self, placed: model.Placed) -> EndpointOwner:
-        driver = DRIVERS.create(placed.pool.kind, self.instance, placed.entry.address)
+    def _create(self, assignment: model.EndpointAssignment) -> EndpointOwner:
+        driver = DRIVERS.create(
+            assignment.pool.kind, self.instance, assignment.entry.address
+        )
         turns = cast(model.LoadTurns, self.instance.components_by_domain[TURNS_DOMAIN])
-        owner = EndpointOwner(self.instance, placed, driver, turns, self.estimates)
-        self.owners_by_endpoint[placed.entry.id] = owner
+        owner = EndpointOwner(self.instance, assignment, driver, turns, self.estimates)
+        self.owners_by_endpoint[assignment.entry.id] = owner
         owner.launch()
         return owner
 
-    def _place_gone(self, endpoint: str) -> None:
-        """Let an endpoint that leaves finish what runs."""
+    def _release(self, endpoint: str) -> None:
+        """Give an endpoint up and let its running requests end."""
         owner = self.owners_by_endpoint[endpoint]
         if not self._remove_idle(owner):
-            owner.post(model.Placed(owner.placed.entry, owner.placed.pool, None))
+            owner.post(
+                model.EndpointAssignment(
+                    owner.assignment.entry, owner.assignment.pool, None
+                )
+            )
 
     def _remove_idle(self, owner: EndpointOwner) -> bool:
         if not owner.is_idle:
@@ -184,21 +191,21 @@
 
     # Messages of peers.
 
-    def _take_submit(self, message: PeerMessage) -> None:
+    def _handle_submit(self, message: PeerMessage) -> None:
         submit = cast(Submit, message.body)
         owner = self.owners_by_endpoint.get(submit.endpoint)
         if owner is not None:
-            owner.post(model.SubmitCame(message, submit))
+            owner.post(model.SubmitReceived(message, submit))
             return
         draining = self.instance.draining
         kind = ErrorKind.DRAINING if draining else ErrorKind.NOT_OWNER
         self.instance.metrics.count(f"owner.refused.{kind}")
         get_peer_link(self.instance).answer(message, SubmitAnswer(False, kind.value))
 
-    def _take_cancel(self, message: PeerMessage) -> None:
+    def _handle_cancel(self, message: PeerMessage) -> None:
         cancel = cast(CancelWork, message.body)
         for owner in self.owners_by_endpoint.values():
-            owner.post(model.CancelCame(cancel.request_id, cancel.attempt))
+            owner.post(model.CancelReceived(cancel.request_id, cancel.attempt))
 
     def _answer_running(self, message: PeerMessage) -> None:
         endpoint = cast(RunningAsk, message.body).endpoint
@@ -209,57 +216,61 @@
             for item in entry_work.list_work(endpoint):
                 work[item.request_id] = item
         if owner is not None:
-            for item in owner.list_known():
+            for item in owner.list_running_work():
                 work[item.request_id] = item
-        fence, given = 0, False
+        fence, handed_over = 0, False
         if owner is not None:
-            fence = owner.ownership.highest
-            given = owner.ownership.confirm(message.sender, self.instance.now())
-        answer = RunningAnswer(endpoint, fence, tuple(work.values()), given)
+            fence = owner.ownership.highest_fence
+            handed_over = owner.ownership.confirm_handover(
+                message.sender, self.instance.now()
+            )
+        answer = RunningAnswer(endpoint, fence, tuple(work.values()), handed_over)
         get_peer_link(self.instance).answer(message, answer)
 
     def _answer_copy(self, message: PeerMessage) -> None:
         ask = cast(CopyAsk, message.body)
         owner = self.owners_by_endpoint.get(ask.endpoint)
-        situation = None
+        candidate = None
         if owner is not None and owner.find_refusal() is None:
-            situation = owner.arrivals.look(ask.adapter)
-        answer = make_answer(ask, situation)
+            candidate = owner.arrivals.describe_candidate(ask.adapter)
+        answer = make_copy_answer(ask, candidate)
         get_peer_link(self.instance).answer(message, answer)
 
-    def _take_offer(self, message: PeerMessage) -> None:
+    def _handle_offer(self, message: PeerMessage) -> None:
         offer = cast(HandoverOffer, message.body)
         accepted = not self.instance.draining
         if accepted:
             now = self.instance.now()
-            self.placement.note_offer(offer.endpoint, message.sender, now)
+            self.placement.note_handover(offer.endpoint, message.sender, now)
             self._update_placement()
-            self._place_all()
+            self._update_assignments()
             owner = self.owners_by_endpoint.get(offer.endpoint)
             if owner is not None:
-                owner.post(model.OfferCame(message.sender, offer))
+                owner.post(model.OfferReceived(message.sender, offer))
         answer = HandoverAnswer(offer.endpoint, accepted)
         get_peer_link(self.instance).answer(message, answer)
 
-    def _lose_peer(self, lost: PeerLost) -> None:
+    def _handle_peer_lost(self, lost: PeerLost) -> None:
         if not lost.reachable:
-            self._lose_entry(lost.instance_id)
+            self._post_entry_lost(lost.instance_id)
             return
         for owner in self.owners_by_endpoint.values():
             owner.post(model.EntryReconnected(lost.instance_id))
 
-    def _note_view(self, view: MemberView) -> None:
+    def _handle_view(self, view: MemberView) -> None:
         if view == self._view:
             return
-        # An entry that leaves gracefully still waits for what it has sent.
-        gone = self._view.members_by_id.keys() - view.members_by_id.keys() - view.left
+        # An entry that leaves gracefully still waits for its requests.
+        lost_ids = (
+            self._view.members_by_id.keys() - view.members_by_id.keys() - view.left
+        )
         self._view = view
-        for lost in gone:
-            self._lose_entry(lost)
+        for lost in lost_ids:
+            self._post_entry_lost(lost)
         self._update_placement()
-        self._place_all()
+        self._update_assignments()
 
-    def _lose_entry(self, instance_id: str) -> None:
+    def _post_entry_lost(self, instance_id: str) -> None:
         for owner in self.owners_by_endpoint.values():
             owner.post(model.EntryLost(instance_id))
 
@@ -274,11 +285,11 @@
                     polled[endpoint] = self.instance.spawn(owner.poll(), "owner.poll")
             await asyncio.sleep(REPORT_PERIOD_S * random.uniform(0.8, 1.2))
 
-    async def _show_forever(self) -> None:
+    async def _publish_forever(self) -> None:
         while True:
-            shown = {
+            owned = {
                 endpoint: owner.describe()
                 for endpoint, owner in self.owners_by_endpoint.items()
             }
-            self.instance.bus.publish_state(OwnedEndpoints(shown))
+            self.instance.bus.publish_state(OwnedEndpoints(owned))
             await asyncio.sleep(SNAPSHOT_PERIOD_S)
--- a/fescuekeel/components/owner/endpoint.py
+++ b/fescuekeel/components/owner/endpoint.py
@@ -1,4 +1,4 @@
-"""The owner of one endpoint: it drives the scheduler and gives the orders."""
+"""The owner of one endpoint, which runs its scheduler and gives it orders."""
 
 import time
 from typing import Any
@@ -9,15 +9,15 @@
 from fescuekeel.components.owner.arrivals import Arrivals
 from fescuekeel.components.owner.const import (
     HANDOVER_TIMEOUT_S,
-    PEERS_PATIENCE_S,
+    PEERS_TIMEOUT_S,
     REPORT_TIMEOUT_S,
-    UNREACHABLE_S,
+    UNRESPONSIVE_S,
 )
 from fescuekeel.components.owner.estimates import Estimates
 from fescuekeel.components.owner.foreign import ForeignWork
 from fescuekeel.components.owner.orders import Orders
 from fescuekeel.components.owner.requests import Requests
-from fescuekeel.components.owner.run import Waits
+from fescuekeel.components.owner.run import WaitTimes
 from fescuekeel.components.owner.scheduling import model as sched
 from fescuekeel.components.owner.scheduling.decision import EndpointScheduler
 from fescuekeel.components.tree.model import PoolKind
@@ -40,19 +40,19 @@
 
 
 class EndpointOwner(Actor):
-    """Own one endpoint, or finish what runs there after a handover."""
+    """Own one endpoint, or finish its running requests after a handover."""
 
     def __init__(
         self,
         instance: Instance,
-        placed: model.Placed,
+        assignment: model.EndpointAssignment,
         driver: Driver,
         turns: model.LoadTurns,
         estimates: Estimates,
     ) -> None:
-        super().__init__(instance, f"owner.{placed.entry.id}")
-        self.endpoint = placed.entry.id
-        self.placed = placed
+        super().__init__(instance, f"owner.{assignment.entry.id}")
+        self.endpoint = assignment.entry.id
+        self.assignment = assignment
         self.driver = driver
         self.estimates = estimates
         self.link = get_peer_link(instance)
@@ -69,13 +69,13 @@
             self.ownership,
             self.post,
             self._is_serving,
-            self.requests.is_recent,
+            self.requests.ended_recently,
         )
         self.draining = False
         self._boot_id = ""
-        self._heard = instance.now()
+        self._reported_at = instance.now()
         self._configured: sched.Configured | None = None
-        self._leaving_told = False
+        self._leaving_announced = False
         self._is_leaving = False
 
     def launch(self) -> None:
@@ -88,25 +88,25 @@
             self._task.cancel()
         self.driver.close()
 
-    # What others ask.
+    # Called by the component.
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is left to do for this endpoint."""
-        if self.ownership.state is not own.OwnState.ABSENT:
+        """Return whether this owner has nothing left to do."""
+        if self.ownership.state is not own.OwnershipState.ABSENT:
             return False
-        if self.ownership.lingers(self.instance.now()):
+        if self.ownership.may_confirm_handover(self.instance.now()):
             return False
         empty = self.requests.is_empty and self.arrivals.is_empty
         return empty and self.mailbox.empty()
 
-    def list_known(self) -> tuple[RunningWork, ...]:
-        """Return what may be running, under this owner or earlier ones."""
+    def list_running_work(self) -> tuple[RunningWork, ...]:
+        """Return requests that may be running, of this or previous owners."""
         foreign = self.foreign.list_work(self.instance.now())
         return (*foreign, *self.requests.list_running())
 
     def describe(self) -> OwnedEndpoint:
-        """Return what operators see."""
+        """Return the snapshot shown to operators."""
         return OwnedEndpoint(
             endpoint=self.endpoint,
             state=self.ownership.state.value,
@@ -117,88 +117,88 @@
         )
 
     async def poll(self) -> None:
-        """Ask the endpoint for its report."""
-        asked = self.instance.now()
+        """Poll the endpoint for its report."""
+        asked_at = self.instance.now()
         report = await self.driver.report(REPORT_TIMEOUT_S)
-        self.post(model.ReportCame(report, asked))
+        self.post(model.PollDone(report, asked_at))
 
     async def handle(self, message: Any) -> None:
         """Handle one message."""
         match message:
-            case model.SubmitCame():
+            case model.SubmitReceived():
                 self.arrivals.submit(message)
-            case model.CancelCame(request_id, attempt):
+            case model.CancelReceived(request_id, attempt):
                 self.arrivals.cancel(request_id, attempt)
                 self.requests.cancel(request_id, attempt)
-            case model.CopyTold():
-                self.arrivals.take_answer(message)
+            case model.CopyAnswered():
+                self.arrivals.handle_copy_answer(message)
             case model.RunEnded(item, outcome):
                 self._end_run(item, outcome)
-            case model.Placed():
-                self._place(message)
-            case model.ReportCame(report, asked):
-                self._take_report(report, asked)
+            case model.EndpointAssignment():
+                self._update_assignment(message)
+            case model.PollDone(report, asked_at):
+                self._handle_report(report, asked_at)
             case model.PeerAnswered():
-                self._take_peer(message)
-            case model.OfferCame(by, offer):
-                self.foreign.tell(offer.work, self.instance.now())
-                self._own(own.Offered(by, offer.fence))
-            case model.TurnCame(adapter):
+                self._handle_peer_answer(message)
+            case model.OfferReceived(by, offer):
+                self.foreign.add(offer.work, self.instance.now())
+                self._handle_ownership(own.HandoverOffered(by, offer.fence))
+            case model.LoadTurnGranted(adapter):
                 self.schedule(sched.TurnGranted(adapter))
             case model.LoadDone(adapter, outcome):
-                self.orders.note_load(message)
-                self._note_order(outcome)
+                self.orders.record_load(message)
+                self._handle_order_outcome(outcome)
                 self.schedule(sched.LoadEnded(adapter, outcome.ok, outcome.took_s))
-            case model.ConfirmDone(outcome):
-                self._note_order(outcome)
+            case model.FencePresented(outcome):
+                self._handle_order_outcome(outcome)
             case model.EvictDone(adapter, outcome):
-                self.orders.note_evict(message)
+                self.orders.record_evict(message)
                 self._end_evict(adapter, outcome)
             case model.EntryLost(entry):
-                # The refusals still go out: should only the connection be
-                # lost, the entry hears that its work did not run.
+                # Refusals are sent all the same: if only the connection was
+                # lost, the entry learns that its work did not run.
                 self.requests.refuse_queued(ErrorKind.NOT_OWNER, entry)
-                self.arrivals.lose_entry(entry)
+                self.arrivals.handle_entry_lost(entry)
             case model.EntryReconnected(entry):
-                self.requests.read_again(entry)
-            case model.Drained(successor):
+                self.requests.resend_streams(entry)
+            case model.DrainStarted(successor):
                 self.draining = True
-                self._own(own.Unnamed(successor))
-            case model.Ticked():
-                self._own(own.Elapsed())
-                self.foreign.pass_time(self.instance.now())
+                self._handle_ownership(own.NotChosen(successor))
+            case model.TimePassed():
+                self._handle_ownership(own.Elapsed())
+                self.foreign.expire(self.instance.now())
                 self.schedule(sched.Tick())
 
     # Requests.
 
     def find_refusal(self) -> ErrorKind | None:
-        """Return why nothing is taken in at this moment, if so."""
+        """Return why new requests are refused now, or ``None``."""
         if self.draining:
             return ErrorKind.DRAINING
-        if self.ownership.state is own.OwnState.ABSENT:
+        if self.ownership.state is own.OwnershipState.ABSENT:
             return ErrorKind.NOT_OWNER
-        if self.instance.now() - self._heard > UNREACHABLE_S:
+        if self.instance.now() - self._reported_at > UNRESPONSIVE_S:
             return ErrorKind.ENDPOINT_REFUSED
         return None
 
-    def _end_run(self, item: model.Item, outcome: Outcome | None) -> None:
+    def _end_run(self, item: model.AcceptedRequest, outcome: Outcome | None) -> None:
         if outcome is not None:
             self._check_fence(outcome.stale_fence)
             if not outcome.loaded:
-                # It may have restarted: look at once, so that no more work is
-                # sent in vain.
+                # The endpoint may have restarted: poll it at once, so that no
+                # more requests are sent for adapters that it has lost.
                 self.instance.metrics.count("owner.not_loaded")
                 self._spawn_poll()
-        self.requests.end(item, outcome)
+        self.requests.end_run(item, outcome)
 
-    # The scheduler and its effects.
+    # Scheduling.
 
     def schedule(self, event: sched.Event) -> None:
-        """Let the scheduler take an event and apply what it decides."""
+        """Pass an event to the scheduler and apply the effects."""
         self._apply(self.scheduler.handle(event, self.instance.now()))
 
-    def arrive(self, work: sched.Work) -> sched.Refuse | None:
-        """Let the scheduler take a request in, or return its refusal."""
+    def admit(self, work: sched.Work) -> sched.Refuse | None:
+        """Pass a request to the scheduler; return its refusal, if any."""
         effects = self.scheduler.handle(sched.Arrived(work), self.instance.now())
         refusal = next(
             (
@@ -216,34 +216,35 @@
         for effect in effects:
             match effect:
                 case sched.Dispatch(request_id, stall_s, queue_s):
-                    self.requests.dispatch(request_id, Waits(stall_s, queue_s))
+                    self.requests.dispatch(request_id, WaitTimes(stall_s, queue_s))
                 case sched.Refuse(request_id, kind, retry_s):
                     self.requests.refuse(request_id, kind, retry_s)
                 case sched.AskTurn():
-                    self.orders.ask_turn(effect)
+                    self.orders.request_turn(effect)
                 case sched.ReturnTurn(adapter):
                     self.orders.return_turn(adapter)
                 case sched.Load(adapter):
-                    self.orders.load(adapter, self.placed.pool.load_s)
+                    self.orders.load(adapter, self.assignment.pool.load_s)
                 case sched.Evict(adapter):
                     self.orders.evict(adapter)
 
     def may_order(self) -> bool:
-        """Tell whether work may be handed over at this very moment.
+        """Return whether requests may be dispatched now.
 
-        Guards against new work for an endpoint that is leaving and whose
-        reports, which say so, are stuck on the way: it shows as requests that
-        are handed over until the silence is noticed. Reports count from the
-        moment they were asked for, so that none can tell of later times. One
-        that has just woken up may hold such a report before its view shows it.
+        Prevents new work for an endpoint that is leaving while its reports,
+        which say so, are delayed. The age of a report counts from when it was
+        asked for, the latest time that it can describe. After a pause, a
+        report may show that the endpoint is leaving before the view does.
         """
         if self._is_leaving:
             return False
         now = self.instance.now()
-        return self.ownership.may_order(now) and now - self._heard <= UNREACHABLE_S
+        return (
+            self.ownership.may_order(now) and now - self._reported_at <= UNRESPONSIVE_S
+        )
 
     def get_fence(self) -> int:
-        """Return the fencing number for orders."""
+        """Return the fencing token for orders."""
         return self.ownership.fence
 
     def _is_serving(self, adapter: AdapterRef) -> bool:
@@ -254,39 +255,39 @@
     def _check_fence(self, stale_fence: int) -> None:
         if stale_fence:
             self.instance.metrics.count("owner.stale_fence")
-            self._own(own.StaleFence(stale_fence))
+            self._handle_ownership(own.StaleFence(stale_fence))
 
-    def _note_order(self, outcome: OrderOutcome) -> None:
+    def _handle_order_outcome(self, outcome: OrderOutcome) -> None:
         self._check_fence(outcome.stale_fence)
         if outcome.ok:
-            self._own(own.OrderObeyed(outcome.fence))
+            self._handle_ownership(own.OrderAccepted(outcome.fence))
 
     def _end_evict(self, adapter: AdapterRef, outcome: OrderOutcome) -> None:
-        self._note_order(outcome)
+        self._handle_order_outcome(outcome)
         if outcome.unsure:
-            # It may be obeyed late, when the adapter serves again: it counts
-            # as gone, and a new number keeps the order from being obeyed.
-            self._own(own.Unsure())
+            # The order may still be executed, when the adapter serves again.
+            # The adapter counts as evicted, and a new token fences the order.
+            self._handle_ownership(own.OrderUnconfirmed())
         self.schedule(sched.EvictEnded(adapter, outcome.ok or outcome.unsure))
 
     # Ownership.
 
-    def _place(self, placed: model.Placed) -> None:
-        self.placed = placed
+    def _update_assignment(self, assignment: model.EndpointAssignment) -> None:
+        self.assignment = assignment
         if self.draining:
             return
-        if placed.owner == self.instance.id:
-            fenced = placed.pool.fenced or placed.pool.kind is PoolKind.PLAIN
-            self._own(own.Named(placed.peers, fenced))
+        if assignment.owner == self.instance.id:
+            fenced = assignment.pool.fenced or assignment.pool.kind is PoolKind.PLAIN
+            self._handle_ownership(own.ChosenAsOwner(assignment.peers, fenced))
         else:
-            self._own(own.Unnamed(placed.owner))
+            self._handle_ownership(own.NotChosen(assignment.owner))
         self._configure()
 
-    def _own(self, event: own.OwnershipEvent) -> None:
+    def _handle_ownership(self, event: own.OwnershipEvent) -> None:
         now, wall_ms = self.instance.now(), time.time_ns() // 1_000_000
         for effect in self.ownership.handle(event, now, wall_ms):
             self._apply_ownership(effect)
-        if self.ownership.state is own.OwnState.ABSENT:
+        if self.ownership.state is own.OwnershipState.ABSENT:
             draining = self.draining
             kind = ErrorKind.DRAINING if draining else ErrorKind.NOT_OWNER
             self.requests.refuse_queued(kind)
@@ -294,7 +295,7 @@
     def _apply_ownership(self, effect: own.OwnershipEffect) -> None:
         match effect:
             case own.AskPeers(peers):
-                self._heard = self.instance.now()
+                self._reported_at = self.instance.now()
                 self._spawn_poll()
                 for peer in peers:
                     self.instance.spawn(self._ask_peer(peer), f"{self.name}.ask")
@@ -302,74 +303,76 @@
                 self.instance.metrics.count("owner.gained")
                 log_event("owner_gained", endpoint=self.endpoint, fence=fence)
                 self._configure()
-                self._raise_mark()
+                self._present_fence()
             case own.Lost():
                 self.instance.metrics.count("owner.lost")
                 log_event("owner_lost", endpoint=self.endpoint)
                 self._configure()
-            case own.Offer(successor, fence):
+            case own.OfferHandover(successor, fence):
                 self.instance.spawn(self._offer(successor, fence), f"{self.name}.offer")
 
-    def _raise_mark(self) -> None:
-        """Let a fenced endpoint see the new number at once.
+    def _present_fence(self) -> None:
+        """Present the new token to a fenced endpoint at once.
 
-        An order to load what is loaded changes nothing there, and from then
-        on it refuses the orders of earlier owners.
+        Loading a loaded adapter has no effect, but from then on the endpoint
+        refuses orders of previous owners.
         """
         loaded = self.scheduler.loaded
-        if self.placed.pool.fenced and loaded:
-            self.orders.confirm(min(loaded))
+        if self.assignment.pool.fenced and loaded:
+            self.orders.present_fence(min(loaded))
 
     def _configure(self) -> None:
-        pool = self.placed.pool
+        pool = self.assignment.pool
         configured = sched.Configured(
             slots=pool.slots,
             max_running=pool.max_running,
             step_s=pool.step_s,
             load_s=pool.load_s,
-            ready=self.ownership.state is own.OwnState.OWNED,
+            ready=self.ownership.state is own.OwnershipState.OWNED,
         )
         if configured != self._configured:
             self._configured = configured
             self.schedule(configured)
 
     async def _ask_peer(self, peer: str) -> None:
-        asked = self.instance.now()
+        asked_at = self.instance.now()
         ask = RunningAsk(self.endpoint)
-        result = await self.link.ask(peer, ask, PEERS_PATIENCE_S)
+        result = await self.link.ask(peer, ask, PEERS_TIMEOUT_S)
         answer = result.unwrap() if is_successful(result) else None
         known = answer if isinstance(answer, RunningAnswer) else None
-        self.post(model.PeerAnswered(peer, asked, known))
+        self.post(model.PeerAnswered(peer, asked_at, known))
 
-    def _take_peer(self, told: model.PeerAnswered) -> None:
-        answer = told.answer
+    def _handle_peer_answer(self, message: model.PeerAnswered) -> None:
+        answer = message.answer
         if answer is not None:
             own_ids = self.requests.runs_by_id.keys()
             work = [item for item in answer.work if item.request_id not in own_ids]
-            self.foreign.tell(work, self.instance.now())
+            self.foreign.add(work, self.instance.now())
         fence = answer.fence if answer is not None else 0
-        given = answer is not None and answer.given
-        self._own(own.PeerTold(told.instance, told.asked, fence, given))
+        handed_over = answer is not None and answer.given
+        self._handle_ownership(
+            own.PeerReplied(message.instance, message.asked_at, fence, handed_over)
+        )
 
     async def _offer(self, successor: str, fence: int) -> None:
-        offer = HandoverOffer(self.endpoint, fence, self.list_known())
+        offer = HandoverOffer(self.endpoint, fence, self.list_running_work())
         result = await self.link.ask(successor, offer, HANDOVER_TIMEOUT_S)
-        heard = "handover_heard" if is_successful(result) else "handover_unheard"
-        self.instance.metrics.count(f"owner.{heard}")
+        metric = "handover_heard" if is_successful(result) else "handover_unheard"
+        self.instance.metrics.count(f"owner.{metric}")
 
     # Reports.
 
     def _spawn_poll(self) -> None:
         self.instance.spawn(self.poll(), f"{self.name}.poll")
 
-    def _take_report(self, report: Report | None, asked: float) -> None:
+    def _handle_report(self, report: Report | None, asked_at: float) -> None:
         now = self.instance.now()
         if report is None:
             self.instance.metrics.count("owner.report_missing")
-            if now - self._heard > UNREACHABLE_S:
+            if now - self._reported_at > UNRESPONSIVE_S:
                 self.requests.refuse_queued(ErrorKind.ENDPOINT_REFUSED)
             return
-        self._heard = max(self._heard, asked)
+        self._reported_at = max(self._reported_at, asked_at)
         self._is_leaving = report.leaving
         restarted = self._boot_id not in ("", report.boot_id)
         self._boot_id = report.boot_id
@@ -377,24 +380,24 @@
             self.instance.metrics.count("owner.endpoint_restarted")
             log_event("endpoint_restarted", endpoint=self.endpoint)
             self.foreign.clear()
-        self._take_running(report, now)
+        self._update_running(report, now)
         self.schedule(
             sched.Reported(report.loaded, self.foreign.adapters_by_id, restarted)
         )
-        self._own(own.ReportSeen(report.fence, asked))
-        if report.leaving and not self._leaving_told:
-            self._leaving_told = True
-            leaving = EndpointLeaving(self.endpoint, self.placed.entry.incarnation)
+        self._handle_ownership(own.ReportReceived(report.fence, asked_at))
+        if report.leaving and not self._leaving_announced:
+            self._leaving_announced = True
+            leaving = EndpointLeaving(self.endpoint, self.assignment.entry.incarnation)
             self.instance.bus.publish(leaving)
 
-    def _take_running(self, report: Report, now: float) -> None:
-        # A stream that was taken up from an earlier owner stays foreign, as
-        # the scheduler does not count it among its own.
+    def _update_running(self, report: Report, now: float) -> None:
+        # A stream resumed from a previous owner stays foreign, since the
+        # scheduler did not dispatch it.
         dispatched = set(self.scheduler.running_ids)
         own_ids = dispatched | {
             call.request_id
             for call in report.running
-            if self.requests.is_recent(call.request_id)
+            if self.requests.ended_recently(call.request_id)
         }
-        self.foreign.take_report(report.running, own_ids, now)
-        self.requests.forget_recent(now)
+        self.foreign.update_from_report(report.running, own_ids, now)
+        self.requests.forget_ended(now)
--- a/fescuekeel/components/owner/foreign.py
+++ b/fescuekeel/components/owner/foreign.py
@@ -1,4 +1,4 @@
-"""What runs on an endpoint on behalf of other owners."""
+"""Requests that run on an endpoint on behalf of other owners."""
 
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
@@ -11,85 +11,88 @@
 
 
 @dataclass(slots=True)
-class Foreign:
-    """One such request; times are monotonic seconds."""
+class ForeignRequest:
+    """One request of another owner; times are monotonic seconds."""
 
     adapter: AdapterRef
-    until: float
-    known: float
+    expires_at: float
+    seen_at: float
 
 
 @dataclass(slots=True)
 class ForeignWork:
-    """Remember requests that may run although this owner does not run them.
+    """Track requests of other owners that may run on this endpoint.
 
-    Guards against evicting an adapter that still serves a request of the
-    earlier owner, which would show as an answer cut in half. A request is
-    kept as long as the endpoint reports it. One that only instances told of
-    is kept until reports that must show it by now have not, or until its
-    deadline with all grace has passed.
+    Prevents the eviction of an adapter that still serves a previous owner's
+    request, which would truncate its answer. A request is kept while the
+    endpoint reports it. One known only from other instances is kept until
+    reports should have shown it, or its deadline and grace period have passed.
 
     >>> foreign = ForeignWork()
-    >>> foreign.tell([RunningWork("r1", AdapterRef("cups", "1"), 1000)], 0.0)
-    >>> foreign.take_report([], (), 4.0)
+    >>> foreign.add([RunningWork("r1", AdapterRef("cups", "1"), 1000)], 0.0)
+    >>> foreign.update_from_report([], (), 4.0)
     >>> list(foreign.adapters_by_id)
     ['r1']
-    >>> foreign.take_report([], (), 6.0)
+    >>> foreign.update_from_report([], (), 6.0)
     >>> list(foreign.adapters_by_id)
     []
     """
 
-    _work_by_id: dict[str, Foreign] = field(default_factory=dict)
+    _work_by_id: dict[str, ForeignRequest] = field(default_factory=dict)
 
     @property
     def adapters_by_id(self) -> dict[str, AdapterRef]:
         """Return the adapter of each request."""
         return {id: work.adapter for id, work in self._work_by_id.items()}
 
-    def tell(self, work: Iterable[RunningWork], now: float) -> None:
-        """Take in what an instance knows."""
+    def add(self, work: Iterable[RunningWork], now: float) -> None:
+        """Add requests that another instance says may be running."""
         for item in work:
-            until = now + item.remaining_ms / 1000 + RUNNING_GRACE_S
-            known = self._work_by_id.get(item.request_id)
-            if known is not None:
-                until = max(until, known.until)
-            self._work_by_id[item.request_id] = Foreign(item.adapter, until, now)
-
-    def take_report(
+            expires_at = now + item.remaining_ms / 1000 + RUNNING_GRACE_S
+            previous = self._work_by_id.get(item.request_id)
+            if previous is not None:
+                expires_at = max(expires_at, previous.expires_at)
+            self._work_by_id[item.request_id] = ForeignRequest(
+                item.adapter, expires_at, now
+            )
+
+    def update_from_report(
         self, running: Iterable[RunningCall], own_ids: Collection[str], now: float
     ) -> None:
-        """Take in the endpoint's report, which may be old."""
+        """Update from the endpoint's report, which may lag."""
         listed = set()
         for call in running:
             if call.request_id in own_ids:
                 continue
             listed.add(call.request_id)
-            known = self._work_by_id.get(call.request_id)
-            until = now + REPORT_LAG_S if known is None else known.until
-            self._work_by_id[call.request_id] = Foreign(call.adapter, until, now)
+            previous = self._work_by_id.get(call.request_id)
+            expires_at = now + REPORT_LAG_S if previous is None else previous.expires_at
+            self._work_by_id[call.request_id] = ForeignRequest(
+                call.adapter, expires_at, now
+            )
         for request_id, work in list(self._work_by_id.items()):
             if request_id in listed:
                 continue
-            if request_id in own_ids or now - work.known > REPORT_LAG_S:
+            if request_id in own_ids or now - work.seen_at > REPORT_LAG_S:
                 del self._work_by_id[request_id]
 
-    def pass_time(self, now: float) -> None:
-        """Forget what has passed its deadline and was not reported since."""
+    def expire(self, now: float) -> None:
+        """Remove requests past their deadline that are no longer reported."""
         for request_id, work in list(self._work_by_id.items()):
-            if now > work.until and now - work.known > REPORT_LAG_S:
+            if now > work.expires_at and now - work.seen_at > REPORT_LAG_S:
                 del self._work_by_id[request_id]
 
     def list_work(self, now: float) -> tuple[RunningWork, ...]:
-        """Return all, to pass them on."""
+        """Return all requests, to send them to another owner."""
         return tuple(
-            RunningWork(id, work.adapter, max(0, int((work.until - now) * 1000)))
+            RunningWork(id, work.adapter, max(0, int((work.expires_at - now) * 1000)))
             for id, work in self._work_by_id.items()
         )
 
     def forget(self, request_id: str) -> None:
-        """Forget a request that has certainly ended."""
+        """Remove a request that has ended."""
         self._work_by_id.pop(request_id, None)
 
     def clear(self) -> None:
-        """Forget all, as the endpoint has lost it."""
+        """Remove all requests after a restart of the endpoint."""
         self._work_by_id.clear()
--- a/fescuekeel/components/owner/model.py
+++ b/fescuekeel/components/owner/model.py
@@ -16,62 +16,65 @@
 )
 
 __all__ = [
-    "CancelCame",
-    "ConfirmDone",
-    "CopyTold",
-    "Drained",
+    "AcceptedRequest",
+    "CancelReceived",
+    "CopyAnswered",
+    "DrainStarted",
+    "EndpointAssignment",
     "EntryLost",
     "EntryReconnected",
     "EvictDone",
-    "Item",
+    "FencePresented",
     "LoadDone",
+    "LoadTurnGranted",
     "LoadTurns",
-    "OfferCame",
+    "OfferReceived",
     "PeerAnswered",
-    "Placed",
-    "ReportCame",
+    "PollDone",
     "RunEnded",
-    "SubmitCame",
-    "Ticked",
-    "TurnCame",
+    "SubmitReceived",
+    "TimePassed",
 ]
 
 
 class LoadTurns(Protocol):
-    """What owners ask of the component that hands out load turns."""
+    """The component that grants load turns: permissions to load an adapter."""
 
     async def request(
         self, endpoint: str, adapter: AdapterRef, value: float, waiting: int
     ) -> bool:
-        """Wait for the turn; return false when it was withdrawn meanwhile."""
+        """Wait for a load turn; return false if the request was withdrawn."""
 
     def withdraw(self, endpoint: str, adapter: AdapterRef) -> None:
-        """Give up an ask, or a turn that was not used."""
+        """Withdraw a request for a turn, or return an unused turn."""
 
     def done(self, endpoint: str, adapter: AdapterRef, took_s: float) -> None:
-        """Give back a turn after a load."""
+        """Return a turn after a load that took ``took_s`` seconds."""
 
 
 @dataclass(frozen=True, slots=True)
-class Item:
-    """A request that this owner has accepted; times are monotonic seconds."""
+class AcceptedRequest:
+    """A request that this owner has accepted.
+
+    Times are on the monotonic clock, in seconds.
+    """
 
     submit: Submit
     entry: str
-    arrived: float
+    arrived_at: float
     deadline: float
 
     @property
     def request_id(self) -> str:
-        """Return the request's id."""
+        """Return the ID of the request."""
         return self.submit.request_id
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
-    """What the views say of the endpoint now.
+class EndpointAssignment:
+    """An endpoint's owner according to the current views.
 
-    ``owner`` is ``None`` when no instance may own it, as it is leaving.
+    ``owner`` is ``None`` when the endpoint is leaving.
     """
 
     entry: LiveEntry
@@ -81,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SubmitCame:
+class SubmitReceived:
     """An entry instance submits a request."""
 
     question: PeerMessage
@@ -89,8 +92,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CancelCame:
-    """An entry instance gives an attempt up."""
+class CancelReceived:
+    """An entry instance cancels an attempt."""
 
     request_id: str
     attempt: int
@@ -98,61 +101,64 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryLost:
-    """An instance is gone or cannot be reached."""
+    """An entry instance left, failed or is unreachable."""
 
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
 class EntryReconnected:
-    """Messages to an instance may be lost, but it can be reached again."""
+    """The connection to an entry was lost and restored.
+
+    Messages to it may have been lost.
+    """
 
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
-    """A hand-over ended; ``outcome`` is ``None`` when it never began."""
+    """A run ended; ``outcome`` is ``None`` if the entry denied its start."""
 
-    item: Item
+    item: AcceptedRequest
     outcome: Outcome | None
 
 
 @dataclass(frozen=True, slots=True)
-class ReportCame:
-    """The endpoint was asked to report at ``asked``; ``None`` is silence."""
+class PollDone:
+    """A poll sent at ``asked_at`` ended; ``report`` is ``None`` on failure."""
 
     report: Report | None
-    asked: float
+    asked_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class PeerAnswered:
-    """A peer, asked at ``asked``, told what it knows, or did not answer."""
+    """A peer asked at ``asked_at`` for running work answered or timed out."""
 
     instance: str
-    asked: float
+    asked_at: float
     answer: RunningAnswer | None
 
 
 @dataclass(frozen=True, slots=True)
-class CopyTold:
-    """The owner of an adapter's other endpoint answered, or did not."""
+class CopyAnswered:
+    """The owner of an adapter's other endpoint answered or timed out."""
 
     adapter: AdapterRef
     answer: CopyAnswer | None
 
 
 @dataclass(frozen=True, slots=True)
-class OfferCame:
-    """The earlier owner ``by`` hands over."""
+class OfferReceived:
+    """The previous owner ``by`` offers a handover."""
 
     by: str
     offer: HandoverOffer
 
 
 @dataclass(frozen=True, slots=True)
-class TurnCame:
+class LoadTurnGranted:
     """A load turn was granted."""
 
     adapter: AdapterRef
@@ -160,34 +166,34 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadDone:
-    """A load order ended."""
+    """A load succeeded or failed."""
 
     adapter: AdapterRef
     outcome: OrderOutcome
 
 
 @dataclass(frozen=True, slots=True)
-class ConfirmDone:
-    """An order that only shows the fencing number ended."""
+class FencePresented:
+    """An order that only presents the fencing token ended."""
 
     outcome: OrderOutcome
 
 
 @dataclass(frozen=True, slots=True)
 class EvictDone:
-    """An eviction order ended."""
+    """An eviction succeeded or failed."""
 
     adapter: AdapterRef
     outcome: OrderOutcome
 
 
 @dataclass(frozen=True, slots=True)
-class Ticked:
-    """Time passed."""
+class TimePassed:
+    """Periodic tick."""
 
 
 @dataclass(frozen=True, slots=True)
-class Drained:
-    """Shut down: hand over and finish what runs."""
+class DrainStarted:
+    """Shut down: hand the endpoint over and finish the running requests."""
 
     successor: str | None
--- a/fescuekeel/components/owner/orders.py
+++ b/fescuekeel/components/owner/orders.py
@@ -1,4 +1,4 @@
-"""The loads and evictions that an owner orders at its endpoint."""
+"""Load and eviction orders of an owner to its endpoint."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from fescuekeel.components.owner import model
 from fescuekeel.components.owner.const import (
     EVICT_TIMEOUT_S,
-    LOAD_PATIENCE,
+    LOAD_TIMEOUT_FACTOR,
     MIN_LOAD_TIMEOUT_S,
     REPORT_TIMEOUT_S,
 )
@@ -24,11 +24,11 @@
 
 @dataclass(slots=True)
 class Orders:
-    """Carry orders out and post how they ended to the owner.
+    """Send orders to the endpoint and post their outcomes to the owner.
 
-    ``is_serving`` tells whether anything is known to run on an adapter, by
-    whichever owner, and ``is_ended`` whether a request has ended here that a
-    report may still show.
+    ``is_serving`` returns whether a request of any owner is known to run on
+    an adapter, ``is_ended`` whether a request has ended here although a
+    report may still list it.
     """
 
     instance: Instance
@@ -40,31 +40,33 @@
     is_serving: Callable[[AdapterRef], bool]
     is_ended: Callable[[str], bool]
 
-    def ask_turn(self, ask: sched.AskTurn) -> None:
-        """Ask for a turn at the weight store."""
-        self.instance.spawn(self._ask_turn(ask), f"owner.{self.endpoint}.turn")
+    def request_turn(self, ask: sched.AskTurn) -> None:
+        """Request a load turn."""
+        self.instance.spawn(self._request_turn(ask), f"owner.{self.endpoint}.turn")
 
     def return_turn(self, adapter: AdapterRef) -> None:
-        """Give up an ask, or a turn that was not used."""
+        """Withdraw a request for a turn, or return an unused turn."""
         self.turns.withdraw(self.endpoint, adapter)
 
     def load(self, adapter: AdapterRef, load_s: float) -> None:
         """Order a load that is expected to take ``load_s`` seconds."""
-        timeout_s = max(MIN_LOAD_TIMEOUT_S, LOAD_PATIENCE * load_s)
+        timeout_s = max(MIN_LOAD_TIMEOUT_S, LOAD_TIMEOUT_FACTOR * load_s)
         self.instance.spawn(
             self._load(adapter, timeout_s), f"owner.{self.endpoint}.load"
         )
 
     def evict(self, adapter: AdapterRef) -> None:
-        """Order an eviction, unless the adapter could be serving."""
+        """Order an eviction unless the adapter may be serving."""
         self.instance.spawn(self._evict(adapter), f"owner.{self.endpoint}.evict")
 
-    def confirm(self, adapter: AdapterRef) -> None:
-        """Order a load of what is loaded, to show the fencing number."""
-        self.instance.spawn(self._confirm(adapter), f"owner.{self.endpoint}.confirm")
+    def present_fence(self, adapter: AdapterRef) -> None:
+        """Order a load of a loaded adapter, to present the fencing token."""
+        self.instance.spawn(
+            self._present_fence(adapter), f"owner.{self.endpoint}.confirm"
+        )
 
-    def note_load(self, done: model.LoadDone) -> None:
-        """Give the turn back, count and log."""
+    def record_load(self, done: model.LoadDone) -> None:
+        """Return the turn; count and log the outcome."""
         outcome = done.outcome
         took_s = outcome.took_s if outcome.ok else 0.0
         self.turns.done(self.endpoint, done.adapter, took_s)
@@ -80,8 +82,8 @@
             detail=outcome.detail,
         )
 
-    def note_evict(self, done: model.EvictDone) -> None:
-        """Count an eviction."""
+    def record_evict(self, done: model.EvictDone) -> None:
+        """Count the outcome of an eviction."""
         if done.outcome.ok:
             self.instance.metrics.count("owner.evictions")
             return
@@ -90,12 +92,12 @@
             "owner.evict_held" if held else "owner.evict_failed"
         )
 
-    async def _ask_turn(self, ask: sched.AskTurn) -> None:
+    async def _request_turn(self, ask: sched.AskTurn) -> None:
         granted = await self.turns.request(
             self.endpoint, ask.adapter, ask.value, ask.waiting
         )
         if granted:
-            self.post(model.TurnCame(ask.adapter))
+            self.post(model.LoadTurnGranted(ask.adapter))
 
     async def _load(self, adapter: AdapterRef, timeout_s: float) -> None:
         outcome = await self.driver.load(
@@ -103,23 +105,22 @@
         )
         self.post(model.LoadDone(adapter, outcome))
 
-    async def _confirm(self, adapter: AdapterRef) -> None:
+    async def _present_fence(self, adapter: AdapterRef) -> None:
         outcome = await self.driver.load(
             adapter, self.ownership.fence, EVICT_TIMEOUT_S, self._may_order
         )
-        self.post(model.ConfirmDone(outcome))
+        self.post(model.FencePresented(outcome))
 
     async def _evict(self, adapter: AdapterRef) -> None:
         outcome = await self._order_evict(adapter)
         self.post(model.EvictDone(adapter, outcome))
 
     async def _order_evict(self, adapter: AdapterRef) -> OrderOutcome:
-        """Look at the endpoint once more, then order.
+        """Poll the endpoint again, then order the eviction.
 
-        Guards against cutting answers of another owner, which show in no
-        message of ours: it may be one that a different view names, or one
-        whose work was handed over a moment before the takeover. The report
-        shows its requests, but for those of the last moments.
+        Prevents cutting answers of an owner that this instance does not know
+        of: one named by a different view, or one that dispatched just before
+        the takeover. The report shows all but the most recent requests.
         """
         held = OrderOutcome(False, detail=HELD)
         if self.is_serving(adapter) or not self._may_evict():
--- a/fescuekeel/components/owner/ownership.py
+++ b/fescuekeel/components/owner/ownership.py
@@ -1,9 +1,9 @@
-"""Decide whether this instance owns an endpoint; a pure decision.
+"""State machine of one endpoint's ownership at this instance, without I/O.
 
-Who owns an endpoint is a soft decision for efficiency: hashing over a view of
-the members that may be wrong. What keeps two owners from harming each other
-is local to the endpoint: its fencing number where it checks one, and for the
-others the lease below, which is checked right before each order.
+The owner is chosen by hashing over a membership view, which may be stale, so
+two instances may both consider themselves the owner. Safety does not depend
+on the view: endpoints either check fencing tokens or rely on the owner's
+lease, which is checked immediately before each order.
 """
 
 import math
@@ -11,37 +11,37 @@
 from enum import StrEnum
 
 from fescuekeel.components.owner.const import (
-    CONFIRM_S,
-    PEERS_PATIENCE_S,
+    HANDOVER_CONFIRM_S,
+    MAX_RENEWAL_GAP_S,
+    PEERS_TIMEOUT_S,
     REPORT_LAG_S,
-    VIEW_GAP_S,
 )
 from fescuekeel.components.owner.fence import make_fence
 from fescuekeel.const import OWNER_LEASE_S
 
 __all__ = [
     "AskPeers",
+    "ChosenAsOwner",
     "Elapsed",
     "Gained",
+    "HandoverOffered",
     "Lost",
-    "Named",
-    "Offer",
-    "Offered",
-    "OrderObeyed",
-    "OwnState",
+    "NotChosen",
+    "OfferHandover",
+    "OrderAccepted",
+    "OrderUnconfirmed",
     "Ownership",
     "OwnershipEffect",
     "OwnershipEvent",
-    "PeerTold",
-    "ReportSeen",
+    "OwnershipState",
+    "PeerReplied",
+    "ReportReceived",
     "StaleFence",
-    "Unnamed",
-    "Unsure",
 ]
 
 
-class OwnState(StrEnum):
-    """Name what this instance is to an endpoint."""
+class OwnershipState(StrEnum):
+    """Ownership of an endpoint by this instance."""
 
     ABSENT = "absent"
     ACQUIRING = "acquiring"
@@ -52,13 +52,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Named:
-    """The view, as it is now, names this instance as the owner.
+class ChosenAsOwner:
+    """The current view names this instance as the owner; renews the lease.
 
-    This renews the lease. ``peers`` are the other live instances. ``fenced``
-    tells that an earlier owner's orders can do no harm once this one has
-    given an order: the endpoint checks fencing numbers, or holds nothing
-    that could be evicted.
+    ``peers`` are the other live instances. ``fenced`` means that orders of
+    previous owners are harmless once this owner has given one: the endpoint
+    checks fencing tokens, or has no adapters to evict.
     """
 
     peers: frozenset[str]
@@ -66,75 +65,76 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unnamed:
-    """The view names another owner, or none when the endpoint is leaving."""
+class NotChosen:
+    """The view names another owner, or none if the endpoint is leaving."""
 
     successor: str | None
 
 
 @dataclass(frozen=True, slots=True)
-class Offered:
-    """The earlier owner ``by`` hands over: it gives no more orders."""
+class HandoverOffered:
+    """The previous owner ``by`` offers a handover; it gives no more orders."""
 
     by: str
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
-class PeerTold:
-    """An instance that was asked at ``asked`` told its highest number.
+class PeerReplied:
+    """An instance asked at ``asked_at`` answered or timed out.
 
-    The number is zero when it did not answer in time. ``given`` says that it
-    has just given the endpoint up in favour of this instance.
+    ``fence`` is the highest fencing token that it knows, zero after a timeout.
+    ``handed_over`` confirms that it has just handed the endpoint over to this
+    instance.
     """
 
     instance: str
-    asked: float
+    asked_at: float
     fence: int = 0
-    given: bool = False
+    handed_over: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class ReportSeen:
-    """The endpoint reported; ``asked`` is when it was asked to."""
+class ReportReceived:
+    """The endpoint answered a poll that was sent at ``asked_at``."""
 
     fence: int
-    asked: float
+    asked_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class OrderObeyed:
-    """The endpoint obeyed an order with this number."""
+class OrderAccepted:
+    """The endpoint executed an order with this fencing token."""
 
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
 class StaleFence:
-    """The endpoint refused an order: it has seen a higher number."""
+    """The endpoint refused an order: it has seen a higher fencing token."""
 
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
-class Unsure:
-    """An order was sent and not answered, so that it may be obeyed late."""
+class OrderUnconfirmed:
+    """An order was not answered and may still be executed later."""
 
 
 @dataclass(frozen=True, slots=True)
 class Elapsed:
-    """Time passed."""
+    """Periodic tick."""
 
 
 OwnershipEvent = (
-    Named
-    | Unnamed
-    | Offered
-    | PeerTold
-    | ReportSeen
-    | OrderObeyed
+    ChosenAsOwner
+    | NotChosen
+    | HandoverOffered
+    | PeerReplied
+    | ReportReceived
+    | OrderAccepted
     | StaleFence
-    | Unsure
+    | OrderUnconfirmed
     | Elapsed
 )
 
@@ -144,46 +144,47 @@
 
 @dataclass(frozen=True, slots=True)
 class AskPeers:
-    """Ask the endpoint, and these instances, what runs there."""
+    """Ask the endpoint and these instances for the running requests."""
 
     peers: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class Gained:
-    """Give orders from now on, with this fencing number."""
+    """Orders may be given from now on, with this fencing token."""
 
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """Give no more orders; what is queued goes back to its entries."""
+    """Give no more orders; return queued requests to their entries."""
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
-    """Hand over to the next owner."""
+class OfferHandover:
+    """Offer the endpoint to its next owner."""
 
     successor: str
     fence: int
 
 
-OwnershipEffect = AskPeers | Gained | Lost | Offer
+OwnershipEffect = AskPeers | Gained | Lost | OfferHandover
 
 
 @dataclass(slots=True)
 class Ownership:
     """The state of one endpoint's ownership at this instance.
 
-    ``now`` is monotonic and in seconds, ``wall_ms`` the wall clock.
+    ``now`` is monotonic time in seconds, ``wall_ms`` the wall clock.
 
     >>> ownership = Ownership("i1")
-    >>> ownership.handle(Named(frozenset(), fenced=True), 10.0, 0)
+    >>> ownership.handle(ChosenAsOwner(frozenset(), fenced=True), 10.0, 0)
     [AskPeers(peers=frozenset())]
     >>> ownership.state.value
     'acquiring'
-    >>> (gained,) = ownership.handle(ReportSeen(fence=5, asked=10.1), 10.2, 0)
+    >>> report = ReportReceived(fence=5, asked_at=10.1)
+    >>> (gained,) = ownership.handle(report, 10.2, 0)
     >>> gained.fence > 5, ownership.may_order(10.3), ownership.may_evict(10.3)
     (True, True, False)
     >>> ownership.may_order(20.0)
@@ -191,191 +192,203 @@
     """
 
     instance_id: str
-    state: OwnState = OwnState.ABSENT
+    state: OwnershipState = OwnershipState.ABSENT
     fence: int = 0
-    highest: int = 0
+    highest_fence: int = 0
     _counter: int = 0
     _fenced: bool = False
-    _began: float = 0.0
-    _renewed: float = 0.0
-    _not_before: float = 0.0
-    _lease_until: float = 0.0
+    _acquiring_since: float = 0.0
+    _renewed_at: float = 0.0
+    _retry_at: float = 0.0
+    _previous_lease_until: float = 0.0
     _evict_after: float = math.inf
-    _given_to: str = ""
-    _given_at: float = -math.inf
+    _successor: str = ""
+    _handed_over_at: float = -math.inf
     _reported: bool = False
-    _silent_peers: set[str] = field(default_factory=set)
+    _pending_peers: set[str] = field(default_factory=set)
 
     def may_order(self, now: float) -> bool:
-        """Tell whether an order may be given at this very moment.
+        """Return whether an order may be given at time ``now``.
 
-        Guards against a process that was paused and wakes up late: it still
-        believes that it owns the endpoint, while another has taken over. Its
-        monotonic clock went on, so that the lease is seen to have passed.
+        Guards against a process that resumes after a pause during which
+        another instance took over: its monotonic clock shows that the lease
+        has expired.
         """
-        return self.state is OwnState.OWNED and now - self._renewed <= OWNER_LEASE_S
+        return (
+            self.state is OwnershipState.OWNED
+            and now - self._renewed_at <= OWNER_LEASE_S
+        )
 
     def may_evict(self, now: float) -> bool:
-        """Tell whether all that the earlier owner started must be known."""
+        """Return whether reports must show all work of previous owners."""
         return self.may_order(now) and now >= self._evict_after
 
-    def lingers(self, now: float) -> bool:
-        """Tell whether a handover may still have to be confirmed."""
-        return bool(self._given_to) and now - self._given_at <= CONFIRM_S
+    def may_confirm_handover(self, now: float) -> bool:
+        """Return whether a successor may still ask to confirm a handover."""
+        return (
+            bool(self._successor) and now - self._handed_over_at <= HANDOVER_CONFIRM_S
+        )
 
-    def confirm(self, asker: str, now: float) -> bool:
-        """Tell an instance that asks whether the endpoint was given to it.
+    def confirm_handover(self, asker: str, now: float) -> bool:
+        """Return whether the endpoint was handed over to ``asker``.
 
-        Guards against a third instance that the views name meanwhile: it asks
-        as well, and from then on the handover does not hold any more.
+        If the views name a third instance meanwhile, it asks too, which
+        voids the handover.
         """
-        if asker != self._given_to:
-            self._given_to = ""
-        return self.lingers(now)
+        if asker != self._successor:
+            self._successor = ""
+        return self.may_confirm_handover(now)
 
     def handle(
         self, event: OwnershipEvent, now: float, wall_ms: int
     ) -> list[OwnershipEffect]:
-        """Take one event in and return what is to be done."""
+        """Handle one event and return the effects to apply."""
         effects = self._check_lease(now)
         match event:
-            case Named():
-                effects += self._name(event, now)
-            case Unnamed(successor):
-                effects += self._unname(successor, now)
-            case Offered():
-                effects += self._take_offer(event)
-            case PeerTold():
-                self._take_peer(event, now)
-            case ReportSeen(fence, asked):
-                self._note(fence)
-                self._reported |= asked >= self._began
+            case ChosenAsOwner():
+                effects += self._handle_chosen(event, now)
+            case NotChosen(successor):
+                effects += self._handle_not_chosen(successor, now)
+            case HandoverOffered():
+                effects += self._handle_offer(event)
+            case PeerReplied():
+                self._handle_peer_reply(event, now)
+            case ReportReceived(fence, asked_at):
+                self._note_fence(fence)
+                self._reported |= asked_at >= self._acquiring_since
                 if fence == self.fence:
-                    self._hold_mark(now)
-            case OrderObeyed(fence):
+                    self._note_fence_seen(now)
+            case OrderAccepted(fence):
                 if fence == self.fence:
-                    self._hold_mark(now)
+                    self._note_fence_seen(now)
             case StaleFence(fence):
-                effects += self._start_over(fence, now)
-            case Unsure():
-                self._renumber(wall_ms)
+                effects += self._handle_stale_fence(fence, now)
+            case OrderUnconfirmed():
+                self._make_new_fence(wall_ms)
             case Elapsed():
                 pass
-        return effects + self._gain(now, wall_ms)
+        return effects + self._try_gain(now, wall_ms)
 
-    def _note(self, fence: int) -> None:
-        self.highest = max(self.highest, fence)
+    def _note_fence(self, fence: int) -> None:
+        self.highest_fence = max(self.highest_fence, fence)
 
     def _check_lease(self, now: float) -> list[OwnershipEffect]:
-        if self.state is OwnState.ABSENT or now - self._renewed <= OWNER_LEASE_S:
+        if (
+            self.state is OwnershipState.ABSENT
+            or now - self._renewed_at <= OWNER_LEASE_S
+        ):
             return []
-        was_owned = self.state is OwnState.OWNED
-        self.state = OwnState.ABSENT
+        was_owned = self.state is OwnershipState.OWNED
+        self.state = OwnershipState.ABSENT
         return [Lost()] if was_owned else []
 
-    def _name(self, event: Named, now: float) -> list[OwnershipEffect]:
-        missed = now - self._renewed > VIEW_GAP_S
-        self._renewed = now
+    def _handle_chosen(self, event: ChosenAsOwner, now: float) -> list[OwnershipEffect]:
+        missed = now - self._renewed_at > MAX_RENEWAL_GAP_S
+        self._renewed_at = now
         self._fenced = event.fenced
-        if self.state is OwnState.OWNED:
+        if self.state is OwnershipState.OWNED:
             return []
-        # Guards against a pause during the takeover: the views may have named
-        # another meanwhile, whose lease began then and is not waited out yet.
-        if self.state is OwnState.ACQUIRING and not missed:
+        # Restart a takeover after a pause: the views may have named another
+        # owner meanwhile, whose lease must expire first.
+        if self.state is OwnershipState.ACQUIRING and not missed:
             return []
         return self._acquire(event.peers, now)
 
     def _acquire(self, peers: frozenset[str], now: float) -> list[OwnershipEffect]:
-        """Begin to take over.
+        """Start a takeover.
 
-        Whoever owned the endpoint before may be paused and wake up, so that
-        it must be assumed to give orders up to the end of its lease. Until
-        then nothing is handed over either: it could evict what serves it. An
-        endpoint that checks fencing numbers settles that by itself.
+        The previous owner may be paused and resume, so it must be assumed to
+        give orders until its lease expires. Requests are not dispatched before
+        that either, as it could evict their adapters. An endpoint that checks
+        fencing tokens needs no such wait.
         """
-        self.state = OwnState.ACQUIRING
-        self._began = now
+        self.state = OwnershipState.ACQUIRING
+        self._acquiring_since = now
         self._reported = False
-        self._lease_until = now if self._fenced else now + OWNER_LEASE_S
-        # Reports show late what the earlier owner had started until then. A
-        # fenced endpoint must first have seen the new number.
+        self._previous_lease_until = now if self._fenced else now + OWNER_LEASE_S
+        # Reports lag, so they show the previous owner's work late. A fenced
+        # endpoint must first have seen the new token.
         self._evict_after = math.inf
         if not self._fenced:
-            self._evict_after = self._lease_until + REPORT_LAG_S
-        self._given_to = ""
-        self._silent_peers = set(peers)
+            self._evict_after = self._previous_lease_until + REPORT_LAG_S
+        self._successor = ""
+        self._pending_peers = set(peers)
         return [AskPeers(peers)]
 
-    def _take_offer(self, event: Offered) -> list[OwnershipEffect]:
-        """Ask whether the offer still holds, as it may have been delayed."""
-        self._note(event.fence)
-        if self.state is OwnState.ABSENT:
+    def _handle_offer(self, event: HandoverOffered) -> list[OwnershipEffect]:
+        """Ask the previous owner to confirm the offer, which may be stale."""
+        self._note_fence(event.fence)
+        if self.state is OwnershipState.ABSENT:
             return []
         return [AskPeers(frozenset({event.by}))]
 
-    def _take_peer(self, event: PeerTold, now: float) -> None:
-        """Take an answer, which may cut the waits short.
+    def _handle_peer_reply(self, event: PeerReplied, now: float) -> None:
+        """Handle an answer; a confirmed handover ends the waits early.
 
-        An instance that confirms its handover gives no more orders, and any
-        third one that the views name after it waits for a whole lease. So a
-        confirmation may be used only while it is younger than that.
+        An instance that confirms its handover gives no more orders, and a
+        third instance named after it waits for a full lease. A confirmation
+        is therefore valid only while it is younger than a lease.
         """
-        self._silent_peers.discard(event.instance)
-        self._note(event.fence)
-        fresh = now - event.asked <= PEERS_PATIENCE_S
-        if not event.given or not fresh or self.state is OwnState.ABSENT:
+        self._pending_peers.discard(event.instance)
+        self._note_fence(event.fence)
+        fresh = now - event.asked_at <= PEERS_TIMEOUT_S
+        if not event.handed_over or not fresh or self.state is OwnershipState.ABSENT:
             return
-        self._lease_until = min(self._lease_until, now)
+        self._previous_lease_until = min(self._previous_lease_until, now)
         self._evict_after = min(self._evict_after, now)
 
-    def _hold_mark(self, now: float) -> None:
-        """Note that the endpoint refuses the orders of earlier owners."""
-        if self.state is OwnState.OWNED and self._fenced:
+    def _note_fence_seen(self, now: float) -> None:
+        """Record that the endpoint refuses orders of previous owners."""
+        if self.state is OwnershipState.OWNED and self._fenced:
             self._evict_after = min(self._evict_after, now + REPORT_LAG_S)
 
-    def _unname(self, successor: str | None, now: float) -> list[OwnershipEffect]:
-        if self.state is OwnState.ABSENT:
+    def _handle_not_chosen(
+        self, successor: str | None, now: float
+    ) -> list[OwnershipEffect]:
+        if self.state is OwnershipState.ABSENT:
             return []
         settled = self.may_evict(now)
-        was_owned = self.state is OwnState.OWNED
-        self.state = OwnState.ABSENT
+        was_owned = self.state is OwnershipState.OWNED
+        self.state = OwnershipState.ABSENT
         effects: list[OwnershipEffect] = [Lost()] if was_owned else []
-        # An owner that is not sure itself of what runs must not vouch for it.
+        # An owner that may not know all running requests must not offer a
+        # handover, which lets its successor skip the waits.
         if settled and successor is not None:
-            self._given_to = successor
-            self._given_at = now
-            effects.append(Offer(successor, self.fence))
+            self._successor = successor
+            self._handed_over_at = now
+            effects.append(OfferHandover(successor, self.fence))
         return effects
 
-    def _start_over(self, fence: int, now: float) -> list[OwnershipEffect]:
-        """Give up after a refusal, as another instance has taken over.
+    def _handle_stale_fence(self, fence: int, now: float) -> list[OwnershipEffect]:
+        """Give up ownership: another instance has taken over.
 
-        If the view goes on naming this instance, it tries again with a higher
-        number, but not at once: two owners that both believe their views
-        would otherwise shut each other out at every order.
+        If the view still names this instance, it retries with a higher token,
+        but only after a lease. Otherwise two owners with different views would
+        fence each other off at every order.
         """
-        self._note(fence)
-        if self.state is not OwnState.OWNED or fence <= self.fence:
+        self._note_fence(fence)
+        if self.state is not OwnershipState.OWNED or fence <= self.fence:
             return []
-        self.state = OwnState.ABSENT
-        self._not_before = now + OWNER_LEASE_S
+        self.state = OwnershipState.ABSENT
+        self._retry_at = now + OWNER_LEASE_S
         return [Lost()]
 
-    def _gain(self, now: float, wall_ms: int) -> list[OwnershipEffect]:
-        if self.state is not OwnState.ACQUIRING or not self._reported:
+    def _try_gain(self, now: float, wall_ms: int) -> list[OwnershipEffect]:
+        if self.state is not OwnershipState.ACQUIRING or not self._reported:
             return []
-        if self._silent_peers and now - self._began < PEERS_PATIENCE_S:
+        if self._pending_peers and now - self._acquiring_since < PEERS_TIMEOUT_S:
             return []
-        if now < max(self._not_before, self._lease_until):
+        if now < max(self._retry_at, self._previous_lease_until):
             return []
-        self._renumber(wall_ms)
-        self.state = OwnState.OWNED
+        self._make_new_fence(wall_ms)
+        self.state = OwnershipState.OWNED
         return [Gained(self.fence)]
 
-    def _renumber(self, wall_ms: int) -> None:
-        # Also guards against one's own eviction that is stuck on a silent
-        # connection: once a later order has raised the endpoint's number, the
-        # stuck one is refused when it arrives at last.
+    def _make_new_fence(self, wall_ms: int) -> None:
+        # Also protects against this owner's own delayed eviction: once a later
+        # order has raised the endpoint's token, the delayed one is refused.
         self._counter += 1
-        self.fence = make_fence(wall_ms, self._counter, self.instance_id, self.highest)
-        self._note(self.fence)
+        self.fence = make_fence(
+            wall_ms, self._counter, self.instance_id, self.highest_fence
+        )
+        self._note_fence(self.fence)
--- a/fescuekeel/components/owner/placement.py
+++ b/fescuekeel/components/owner/placement.py
@@ -1,9 +1,9 @@
-"""Which endpoints are this instance's; a pure decision."""
+"""Which endpoints this instance owns; computed without I/O."""
 
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
-from fescuekeel.components.owner.const import OFFER_KEPT_S
+from fescuekeel.components.owner.const import HANDOVER_OVERRIDE_S
 from fescuekeel.helpers.owners import choose_owner
 from fescuekeel.messages import LiveEntry, Member, MemberView
 
@@ -11,8 +11,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Handed:
-    """An instance that gave an endpoint up, and until when to believe it."""
+class Handover:
+    """The previous owner ``by`` is excluded from ownership until ``until``."""
 
     by: str
     until: float
@@ -20,11 +20,11 @@
 
 @dataclass(slots=True)
 class Placement:
-    """Follow who owns the endpoints that matter here.
+    """Track the owners of the endpoints that this instance may own.
 
-    The owner of an endpoint is computed when a view or a handover changes
-    it, and only for endpoints that could be this instance's, so that the
-    cost does not grow with the other data centres.
+    Owners are recomputed when a view or a handover changes, and only for
+    endpoints that this instance could own, so that the cost does not grow
+    with the number of data centres.
 
     >>> from fescuekeel.messages import LiveRole, Member
     >>> entry = LiveEntry("e1", LiveRole.ENDPOINT, "", "dc1", 1)
@@ -38,55 +38,63 @@
     instance_id: str
     data_centre: str
     owners_by_endpoint: dict[str, str | None] = field(default_factory=dict)
-    _handed_by_endpoint: dict[str, Handed] = field(default_factory=dict)
+    _handovers_by_endpoint: dict[str, Handover] = field(default_factory=dict)
 
-    def note_offer(self, endpoint: str, by: str, now: float) -> None:
-        """Note that an instance gave an endpoint up."""
-        self._handed_by_endpoint[endpoint] = Handed(by, now + OFFER_KEPT_S)
+    def note_handover(self, endpoint: str, by: str, now: float) -> None:
+        """Record that instance ``by`` handed an endpoint over."""
+        self._handovers_by_endpoint[endpoint] = Handover(by, now + HANDOVER_OVERRIDE_S)
 
-    def has_expired(self, now: float) -> bool:
-        """Tell whether some handover is too old to go before the view."""
-        return any(now > item.until for item in self._handed_by_endpoint.values())
+    def has_expired_handover(self, now: float) -> bool:
+        """Return whether a handover no longer overrides the view."""
+        return any(now > item.until for item in self._handovers_by_endpoint.values())
 
-    def update(self, view: MemberView, held: Collection[str], now: float) -> None:
-        """Compute the owners of endpoints that are held or could be ours."""
-        self._handed_by_endpoint = {
+    def update(self, view: MemberView, owned: Collection[str], now: float) -> None:
+        """Compute the owners of ``owned`` endpoints and of possible ones."""
+        self._handovers_by_endpoint = {
             endpoint: item
-            for endpoint, item in self._handed_by_endpoint.items()
+            for endpoint, item in self._handovers_by_endpoint.items()
             if now <= item.until
         }
-        near_members = [
+        local_members = [
             member
             for member in view.members_by_id.values()
             if member.data_centre == self.data_centre
         ]
-        served = {member.data_centre for member in view.members_by_id.values()}
+        served_data_centres = {
+            member.data_centre for member in view.members_by_id.values()
+        }
         owners = {}
         for endpoint, entry in view.endpoints_by_id.items():
-            near = entry.data_centre == self.data_centre
-            if not near and entry.data_centre in served and endpoint not in held:
+            is_local = entry.data_centre == self.data_centre
+            if (
+                not is_local
+                and entry.data_centre in served_data_centres
+                and endpoint not in owned
+            ):
                 continue
-            # Those of other data centres can't matter to a near endpoint, and
-            # looking at all of them for each would cost the most of this.
-            members = near_members if near else view.members_by_id.values()
+            # For a local endpoint, members of other data centres are skipped:
+            # they do not affect its owner and would dominate the cost.
+            members = local_members if is_local else view.members_by_id.values()
             owner = self._choose(entry, members) or self.find_owner(entry, view)
-            if owner == self.instance_id or endpoint in held:
+            if owner == self.instance_id or endpoint in owned:
                 owners[endpoint] = owner
         self.owners_by_endpoint = owners
 
     def find_owner(
-        self, entry: LiveEntry, view: MemberView, without: str = ""
+        self, entry: LiveEntry, view: MemberView, excluded: str = ""
     ) -> str | None:
-        """Return the owner by the view and the handovers.
+        """Return the owner according to the view and recent handovers.
 
-        An instance that handed over gives no orders any more, although the
-        view may still name it for a while.
+        An instance that handed the endpoint over is skipped, although the view
+        may still name it for a while.
         """
-        return self._choose(entry, view.members_by_id.values(), without)
+        return self._choose(entry, view.members_by_id.values(), excluded)
 
     def _choose(
-        self, entry: LiveEntry, members: Iterable[Member], without: str = ""
+        self, entry: LiveEntry, members: Iterable[Member], excluded: str = ""
     ) -> str | None:
-        handed = self._handed_by_endpoint.get(entry.id)
-        left = {without, handed.by if handed else ""}
-        return choose_owner(entry, [item for item in members if item.id not in left])
+        handover = self._handovers_by_endpoint.get(entry.id)
+        excluded_ids = {excluded, handover.by if handover else ""}
+        return choose_owner(
+            entry, [item for item in members if item.id not in excluded_ids]
+        )
--- a/fescuekeel/components/owner/relay.py
+++ b/fescuekeel/components/owner/relay.py
@@ -1,4 +1,4 @@
-"""Pieces of an answer on their way to the entry instance."""
+"""Relay of answer chunks to the entry instance."""
 
 import asyncio
 
@@ -9,11 +9,11 @@
 
 
 class ChunkRelay:
-    """Send the pieces that come within one turn of the loop as one message.
+    """Merge the chunks of one event loop iteration into one message.
 
-    An endpoint that steps a full batch wakes this process once for many
-    tokens; one message for each would cost more than the relaying itself.
-    With ``whole`` false each piece is sent as it came.
+    An engine step delivers the tokens of a whole batch at once, and one
+    message for each would dominate the cost of the relay. With ``coalesce``
+    false each chunk is sent as it arrives.
     """
 
     def __init__(
@@ -23,28 +23,28 @@
         request_id: str,
         attempt: int,
         *,
-        whole: bool = True,
+        coalesce: bool = True,
     ) -> None:
         self._link = link
         self._entry = entry
         self._request_id = request_id
         self._attempt = attempt
-        self._whole = whole
-        self._pieces: list[bytes] = []
+        self._coalesce = coalesce
+        self._chunks: list[bytes] = []
         self._position = 0
         self._tokens = 0
         self._scheduled = False
 
     def add(self, position: int, data: bytes, tokens: int) -> None:
-        """Take a piece; positions follow each other."""
-        # The end mark stays a piece of its own, since its count is zero.
+        """Add a chunk; positions must be consecutive."""
+        # The end marker has no tokens and must stay a message of its own.
         if tokens == 0:
             self.flush()
-        if not self._pieces:
+        if not self._chunks:
             self._position = position
-        self._pieces.append(data)
+        self._chunks.append(data)
         self._tokens += tokens
-        if tokens == 0 or not self._whole:
+        if tokens == 0 or not self._coalesce:
             self.flush()
             return
         if not self._scheduled:
@@ -52,17 +52,17 @@
             asyncio.get_running_loop().call_soon(self._flush_scheduled)
 
     def flush(self) -> None:
-        """Send what is held."""
-        if not self._pieces:
+        """Send the buffered chunks."""
+        if not self._chunks:
             return
         chunk = WorkChunk(
             self._request_id,
             self._attempt,
             self._position,
-            b"".join(self._pieces),
+            b"".join(self._chunks),
             self._tokens,
         )
-        self._pieces.clear()
+        self._chunks.clear()
         self._tokens = 0
         self._link.send(self._entry, chunk)
 
--- a/fescuekeel/components/owner/run.py
+++ b/fescuekeel/components/owner/run.py
@@ -1,4 +1,4 @@
-"""One request's way from the queue through the endpoint to its entry."""
+"""Running one request: dispatch it and relay its answer to its entry."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from returns.pipeline import is_successful
 
 from fescuekeel.components.owner.const import RUNNING_GRACE_S, START_TIMEOUT_S
-from fescuekeel.components.owner.model import Item
+from fescuekeel.components.owner.model import AcceptedRequest
 from fescuekeel.components.owner.relay import ChunkRelay
 from fescuekeel.core import Instance
 from fescuekeel.errors import ErrorKind, Failure, Ran
@@ -15,14 +15,14 @@
 from fescuekeel.helpers.peer_link import PeerLink
 from fescuekeel.messages import StartAnswer, StartAsk, WorkEnd, WorkStarted
 
-__all__ = ["Run", "Waits", "make_end"]
+__all__ = ["Run", "WaitTimes", "make_work_end"]
 
 MS_PER_S = 1000
 
 
 @dataclass(frozen=True, slots=True)
-class Waits:
-    """How long a request waited, for its load and in all, in seconds."""
+class WaitTimes:
+    """How long a request waited for its load, and in total, in seconds."""
 
     stall_s: float = 0.0
     queue_s: float = 0.0
@@ -34,29 +34,29 @@
 
     @property
     def queue_ms(self) -> int:
-        """Return the whole wait in milliseconds."""
+        """Return the total wait in milliseconds."""
         return round(self.queue_s * MS_PER_S)
 
 
 @dataclass(slots=True)
 class Run:
-    """Hand one request over and relay its answer."""
+    """Dispatch one request to the endpoint and relay its answer."""
 
     instance: Instance
     link: PeerLink
     driver: Driver
-    item: Item
-    waits: Waits
+    item: AcceptedRequest
+    waits: WaitTimes
     guard: Guard
     get_fence: Callable[[], int]
-    handed_over: bool = False
+    is_dispatched: bool = False
     _was_denied: bool = False
 
     async def run(self) -> Outcome | None:
-        """Return the outcome, or ``None`` when the entry took it back."""
+        """Return the outcome, or ``None`` if the entry denied the start."""
         if self.item.submit.resume:
             return await self._relay(resume=True)
-        refusal = await self._announce()
+        refusal = await self._announce_start()
         if refusal is not None:
             self._send_end(refusal)
             return refusal
@@ -64,13 +64,13 @@
             return None
         return await self._relay(resume=False)
 
-    async def _announce(self) -> Outcome | None:
-        """Tell the entry of the hand-over, or ask its leave for it.
+    async def _announce_start(self) -> Outcome | None:
+        """Notify the entry of the start, or ask its permission.
 
-        Guards against a non-repeatable request that runs twice: the entry,
-        which may have given up on this owner, grants it to one attempt only.
-        Without an answer nothing is handed over, and so "not run" is true
-        even if the leave was on its way.
+        Prevents a non-repeatable request from running twice: the entry may
+        have retried elsewhere, and it grants the start to one attempt only.
+        Without an answer the request is not dispatched, so that "not run" is
+        correct even if the permission was granted but lost.
         """
         submit, waits = self.item.submit, self.waits
         if submit.repeatable:
@@ -95,14 +95,15 @@
 
     async def _relay(self, resume: bool) -> Outcome:
         item = self.item
-        self.handed_over = True
-        # The entry joins a resumed stream at any token.
+        self.is_dispatched = True
+        # An entry may continue a resumed stream at any token, so its chunks
+        # are not merged.
         relay = ChunkRelay(
             self.link,
             item.entry,
             item.request_id,
             item.submit.attempt,
-            whole=not resume,
+            coalesce=not resume,
         )
         call = self._make_call()
         if resume:
@@ -136,18 +137,18 @@
         )
 
     def _send_end(self, outcome: Outcome) -> None:
-        self.link.send(self.item.entry, make_end(self.item, outcome, self.waits))
+        self.link.send(self.item.entry, make_work_end(self.item, outcome, self.waits))
 
 
-def make_end(item: Item, outcome: Outcome, waits: Waits) -> WorkEnd:
-    """Return the message that tells an entry how its attempt ended.
+def make_work_end(item: AcceptedRequest, outcome: Outcome, waits: WaitTimes) -> WorkEnd:
+    """Return the message that reports an attempt's outcome to its entry.
 
     >>> from fescuekeel.messages import AdapterRef, Submit
     >>> submit = Submit(
     ...     "r1", 2, "e1", "s1", "v1", AdapterRef(), 0, 1, True, False, "", b""
     ... )
-    >>> item = Item(submit, "i1", arrived=0.0, deadline=1.0)
-    >>> end = make_end(item, Outcome.refused("full"), Waits())
+    >>> item = AcceptedRequest(submit, "i1", arrived_at=0.0, deadline=1.0)
+    >>> end = make_work_end(item, Outcome.refused("full"), WaitTimes())
     >>> end.attempt, end.kind, end.ran
     (2, 'endpoint_refused', 'no')
     """
--- a/fescuekeel/components/owner/scheduling/__init__.py
+++ b/fescuekeel/components/owner/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduling of one endpoint: queue, loads, evictions and batches."""
+"""Scheduling of one endpoint: queue, loads, evictions and batches."""
--- a/fescuekeel/components/owner/scheduling/admission.py
+++ b/fescuekeel/components/owner/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""How long a request will wait, learned from how long others did."""
+"""Admission control by expected waits, corrected by observed ones."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -8,126 +8,126 @@
 from fescuekeel.components.owner.scheduling.model import Work
 from fescuekeel.components.owner.scheduling.queue import WorkQueue
 
-__all__ = ["WaitEstimates", "find_unreachable", "get_late_at", "get_limit_s"]
+__all__ = ["WaitEstimates", "find_expected_late", "get_late_check_at", "get_max_wait_s"]
 
 MOST_URGENT = 0
-# Urgent work that is expected to wait for longer than this many load times is
-# told at once, while its caller can still act. At the knee that is rare.
-URGENT_LOADS = 8.0
-# Load times change by less than this factor while a request waits.
-LOAD_MARGIN = 3.0
+# Urgent work that is expected to wait for more than this many load times is
+# refused at once, while its caller can still try elsewhere.
+MAX_URGENT_WAIT_LOADS = 8.0
+# Upper bound on the growth of load times while a request waits.
+LOAD_TIME_MARGIN = 3.0
 
 SMOOTHING = 0.05
-LEAST_STRETCH = 0.5
-# Beyond this, fewer are answered in time: a longer queue shares more loads.
-MAX_STRETCH = 3.0
-LEAST_ESTIMATE_S = 0.05
+MIN_WAIT_FACTOR = 0.5
+# A higher limit refuses requests that could share a load with others.
+MAX_WAIT_FACTOR = 3.0
+MIN_ESTIMATE_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
-class Expected:
-    """What was estimated on arrival, in seconds."""
+class WaitEstimate:
+    """The wait that was estimated on arrival, in seconds."""
 
     urgency: int
-    own_s: float
+    own_load_s: float
     ahead_s: float
 
 
 @dataclass(slots=True)
 class WaitEstimates:
-    """Correct estimated waits by those that were seen.
+    """Correct estimated waits by observed ones.
 
-    What waits ahead of a request says too little when the store is behind:
-    work that arrives later and counts more goes first. How much longer that
-    makes the wait is learned for each urgency as a factor, the stretch.
+    When the weight store is overloaded, the loads ahead of a request
+    underestimate its wait, since later requests with a higher value overtake
+    it. A correction factor is learned for each urgency.
 
     >>> estimates = WaitEstimates()
-    >>> estimates.expect("r1", 1, 0.5, 2.0)
+    >>> estimates.record_estimate("r1", 1, 0.5, 2.0)
     2.5
-    >>> estimates.note_end("r1", 42.5)
-    >>> estimates.expect("r2", 1, 0.5, 2.0)
+    >>> estimates.record_wait("r1", 42.5)
+    >>> estimates.record_estimate("r2", 1, 0.5, 2.0)
     2.7
 
-    The request's own load is not stretched, so that one with nothing ahead
-    of it is taken in: else the store would idle while requests are refused.
+    The factor is not applied to the request's own load, so that a request
+    with no loads ahead is admitted and the store does not idle.
     """
 
-    _stretch_by_urgency: dict[int, float] = field(default_factory=dict)
-    _pending_by_id: dict[str, Expected] = field(default_factory=dict)
+    _factor_by_urgency: dict[int, float] = field(default_factory=dict)
+    _pending_by_id: dict[str, WaitEstimate] = field(default_factory=dict)
 
-    def expect(
-        self, request_id: str, urgency: int, own_s: float, ahead_s: float
+    def record_estimate(
+        self, request_id: str, urgency: int, own_load_s: float, ahead_s: float
     ) -> float:
-        """Return the corrected wait in seconds and remember the estimate.
+        """Return the corrected wait in seconds and keep the estimate.
 
-        ``own_s`` is the time of the request's own load and ``ahead_s`` that
-        of the loads ahead of it.
+        ``own_load_s`` is the time of the request's own load and ``ahead_s``
+        that of the loads ahead of it.
         """
-        self._pending_by_id[request_id] = Expected(urgency, own_s, ahead_s)
-        return self.correct(urgency, own_s, ahead_s)
+        self._pending_by_id[request_id] = WaitEstimate(urgency, own_load_s, ahead_s)
+        return self.correct(urgency, own_load_s, ahead_s)
 
-    def correct(self, urgency: int, own_s: float, ahead_s: float) -> float:
+    def correct(self, urgency: int, own_load_s: float, ahead_s: float) -> float:
         """Return the corrected wait in seconds."""
-        return own_s + ahead_s * self._stretch_by_urgency.get(urgency, 1.0)
+        return own_load_s + ahead_s * self._factor_by_urgency.get(urgency, 1.0)
 
-    def note_end(self, request_id: str, waited_s: float) -> None:
-        """Learn from a wait that ended by a dispatch or by being too late."""
+    def record_wait(self, request_id: str, waited_s: float) -> None:
+        """Update the factor from the wait of a dispatched or late request."""
         expected = self._pending_by_id.pop(request_id, None)
-        if expected is None or expected.ahead_s < LEAST_ESTIMATE_S:
+        if expected is None or expected.ahead_s < MIN_ESTIMATE_S:
             return
-        ratio = (waited_s - expected.own_s) / expected.ahead_s
-        seen = min(MAX_STRETCH, max(LEAST_STRETCH, ratio))
-        stretch = self._stretch_by_urgency.get(expected.urgency, 1.0)
-        stretch += SMOOTHING * (seen - stretch)
-        self._stretch_by_urgency[expected.urgency] = stretch
+        ratio = (waited_s - expected.own_load_s) / expected.ahead_s
+        observed = min(MAX_WAIT_FACTOR, max(MIN_WAIT_FACTOR, ratio))
+        factor = self._factor_by_urgency.get(expected.urgency, 1.0)
+        factor += SMOOTHING * (observed - factor)
+        self._factor_by_urgency[expected.urgency] = factor
 
     def forget(self, request_id: str) -> None:
-        """Drop a request whose wait says nothing."""
+        """Drop the estimate of a request without updating the factor."""
         self._pending_by_id.pop(request_id, None)
 
 
-def get_limit_s(work: Work, load_s: float, now: float) -> float:
-    """Return how long a request that arrives may be expected to wait.
+def get_max_wait_s(work: Work, load_s: float, now: float) -> float:
+    """Return the longest expected wait, in seconds, to admit a request with.
 
-    Its service must end before its deadline. Above the knee urgent work
-    alone would fill the store, and each would wait for all before it: so it
-    is not let in to wait for many loads. Times are in seconds.
+    The request must end before its deadline. Urgent work is also limited to a
+    number of load times: in overload it alone would saturate the weight store
+    and most of it would wait until its deadline.
 
     >>> from fescuekeel.messages import AdapterRef
     >>> work = Work("r1", AdapterRef("cups", "1"), "patter", 0, 0.0, 9.0, 1.0)
-    >>> get_limit_s(work, 0.5, 0.0), get_limit_s(work, 2.0, 0.0)
+    >>> get_max_wait_s(work, 0.5, 0.0), get_max_wait_s(work, 2.0, 0.0)
     (4.0, 8.0)
     """
     left_s = work.deadline - now - work.service_s
     if work.urgency != MOST_URGENT or not work.adapter:
         return left_s
-    return min(left_s, URGENT_LOADS * load_s)
+    return min(left_s, MAX_URGENT_WAIT_LOADS * load_s)
 
 
-def get_late_at(work: Work, load_s: float) -> float:
-    """Return a time before which the request is surely not late."""
-    return work.deadline - work.service_s - LOAD_MARGIN * load_s
+def get_late_check_at(work: Work, load_s: float) -> float:
+    """Return the time from which a request must be checked for lateness."""
+    return work.deadline - work.service_s - LOAD_TIME_MARGIN * load_s
 
 
-def find_unreachable(
+def find_expected_late(
     queue: WorkQueue,
     plan: LoadPlan,
     holdings: Holdings,
     estimates: WaitEstimates,
     now: float,
 ) -> Iterator[tuple[Work, float]]:
-    """Yield what will not get its load in time, and its expected wait.
+    """Yield requests that are expected to miss their deadline, with waits.
 
-    What was let in can fall behind: later work that counts more goes first.
-    Without this look it would hear of that only when even the best case is
-    too late, shortly before its deadline.
+    Later requests with a higher value can overtake an admitted one. Without
+    this check it would be refused only shortly before its deadline, when even
+    an immediate load is too late.
     """
-    waits = queue.list_waits(holdings.needs_load)
-    for ahead, wait in enumerate(plan.rank(waits, now)):
-        if wait.adapter == plan.loading:
+    backlogs = queue.list_backlogs(holdings.needs_load)
+    for ahead, backlog in enumerate(plan.rank(backlogs, now)):
+        if backlog.adapter == plan.loading:
             continue
-        ahead_s = plan.estimate_s(ahead, wait.urgency)
-        for work in queue.list_adapter(wait.adapter):
+        ahead_s = plan.estimate_s(ahead, backlog.urgency)
+        for work in queue.list_adapter(backlog.adapter):
             wait_s = estimates.correct(work.urgency, plan.load_s, ahead_s)
             if now + wait_s + work.service_s > work.deadline:
                 yield work, wait_s
--- a/fescuekeel/components/owner/scheduling/batching.py
+++ b/fescuekeel/components/owner/scheduling/batching.py
@@ -1,27 +1,27 @@
-"""When a request waits for others, so that an engine's steps are fuller."""
+"""Delays that let requests form larger batches."""
 
 from fescuekeel.components.owner.scheduling.model import Work
 
-__all__ = ["get_hold_s"]
+__all__ = ["get_batch_delay_s"]
 
 MOST_URGENT = 0
-# At most this share of its answer time does a request wait for others.
-HOLD_SHARE = 0.1
-MAX_HOLD_S = 2.0
+# The longest delay, as a share of the time from arrival to deadline.
+BATCH_DELAY_SHARE = 0.1
+MAX_BATCH_DELAY_S = 2.0
 
 
-def get_hold_s(work: Work) -> float:
-    """Return for how long a request may wait for others, in seconds.
+def get_batch_delay_s(work: Work) -> float:
+    """Return how long a request may be delayed for a batch, in seconds.
 
-    Nothing unless batches weigh more than stalls, and nothing for the most
-    urgent work.
+    Zero for the most urgent work, and unless its policy weighs batches higher
+    than stalls.
 
     >>> from fescuekeel.messages import AdapterRef
     >>> ref = AdapterRef("report", "1")
     >>> lazy = Work("r1", ref, "s", 2, 0.0, 30.0, 0.0, 1.0, 4.0)
-    >>> round(get_hold_s(lazy), 3)
+    >>> round(get_batch_delay_s(lazy), 3)
     1.8
-    >>> get_hold_s(Work("r2", ref, "s", 0, 0.0, 30.0, 0.0, 1.0, 4.0))
+    >>> get_batch_delay_s(Work("r2", ref, "s", 0, 0.0, 30.0, 0.0, 1.0, 4.0))
     0.0
     """
     if work.urgency == MOST_URGENT or not work.adapter:
@@ -30,4 +30,6 @@
     if work.batch_weight <= work.stall_weight or total <= 0:
         return 0.0
     share = (work.batch_weight - work.stall_weight) / total
-    return min(MAX_HOLD_S, HOLD_SHARE * share * (work.deadline - work.arrived))
+    return min(
+        MAX_BATCH_DELAY_S, BATCH_DELAY_SHARE * share * (work.deadline - work.arrived)
+    )
--- a/fescuekeel/components/owner/scheduling/copies.py
+++ b/fescuekeel/components/owner/scheduling/copies.py
@@ -1,25 +1,25 @@
-"""Which of an adapter's two candidate endpoints loads it; pure decisions."""
+"""The choice between an adapter's two candidate endpoints for a load."""
 
 from dataclasses import dataclass
 
 from fescuekeel.components.owner.scheduling.decision import EndpointScheduler
 from fescuekeel.messages import AdapterRef
 
-__all__ = ["Situation", "look", "should_move"]
+__all__ = ["LoadCandidate", "look", "should_move"]
 
-# A load into a free slot displaces nothing, one into a slot that serves has
-# to wait. Popularity scores lie between.
+# Scores of a free slot, and of a slot whose adapter serves and cannot be
+# evicted yet. Popularity scores lie between them.
 FREE_SCORE = -1.0
 BUSY_SCORE = 1e9
 
 
 @dataclass(frozen=True, slots=True)
-class Situation:
-    """How an endpoint stands to an adapter.
+class LoadCandidate:
+    """An endpoint's state as a candidate for loading an adapter.
 
-    ``held`` tells that the adapter is loaded or will be, ``score`` how popular
-    the adapter is that one more load would displace, and ``queued`` how many
-    requests wait.
+    ``held`` means that the adapter is loaded or will be, ``score`` is the
+    popularity of the adapter that one more load would evict, and ``queued``
+    the number of queued requests.
     """
 
     held: bool
@@ -29,26 +29,26 @@
 
 def look(
     scheduler: EndpointScheduler, adapter: AdapterRef, now: float
-) -> Situation | None:
-    """Return the situation, or ``None`` while the endpoint is not ours."""
+) -> LoadCandidate | None:
+    """Return the endpoint's state, or ``None`` while it is not owned."""
     config = scheduler.config
     if config is None or not config.ready:
         return None
     waiting = scheduler.queue.adapters
-    coming = adapter in waiting or adapter == scheduler.loading
-    held = coming or adapter in scheduler.holdings
+    is_pending = adapter in waiting or adapter == scheduler.loading
+    held = is_pending or adapter in scheduler.holdings
     score = _get_displaced_score(scheduler, config.slots, now)
-    return Situation(held, score, scheduler.queued_count)
+    return LoadCandidate(held, score, scheduler.queued_count)
 
 
-def should_move(here: Situation, there: Situation | None) -> bool:
-    """Tell whether a request that needs a load here goes to the other one.
+def should_move(here: LoadCandidate, there: LoadCandidate | None) -> bool:
+    """Return whether a request that needs a load is redirected.
 
-    It does when the adapter is there already, or when a load there displaces
-    what is asked for less often. Without an answer it stays.
+    It is if the other endpoint holds the adapter, or would evict a less
+    popular one. Without an answer from there the request stays.
 
-    >>> here = Situation(held=False, score=2.0, queued=0)
-    >>> should_move(here, Situation(held=False, score=0.5, queued=3))
+    >>> here = LoadCandidate(held=False, score=2.0, queued=0)
+    >>> should_move(here, LoadCandidate(held=False, score=0.5, queued=3))
     True
     >>> should_move(here, None)
     False
@@ -61,7 +61,7 @@
 
 
 def _get_displaced_score(scheduler: EndpointScheduler, slots: int, now: float) -> float:
-    """Return the score of what a load would displace after those that wait."""
+    """Return the score of what a load behind the pending ones evicts."""
     holdings, waiting = scheduler.holdings, scheduler.queue.adapters
     free = slots - len(holdings)
     ahead = sum(1 for adapter in waiting if holdings.needs_load(adapter))
@@ -72,5 +72,5 @@
         for adapter in holdings
         if adapter not in waiting and holdings.is_idle(adapter, now)
     )
-    place = ahead - free
-    return scores[place] if place < len(scores) else BUSY_SCORE
+    index = ahead - free
+    return scores[index] if index < len(scores) else BUSY_SCORE
--- a/fescuekeel/components/owner/scheduling/load_plan.py
+++ b/fescuekeel/components/owner/scheduling/load_plan.py
@@ -1,31 +1,30 @@
-"""Which load comes next on one endpoint and how long loads take."""
+"""The order of one endpoint's loads, and estimates of their duration."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from fescuekeel.components.owner.scheduling.queue import Wait
+from fescuekeel.components.owner.scheduling.queue import AdapterBacklog
 from fescuekeel.messages import AdapterRef
 
 __all__ = ["LoadPlan"]
 
 URGENT_VALUE = 1_000_000.0
-FAIR_VALUE = 2 * URGENT_VALUE
+AGED_VALUE = 2 * URGENT_VALUE
 MOST_URGENT = 0
-# What a request is worth before it has waited, in load times.
-FRESH_LOADS = 20.0
-# One load in this many goes to the request that has waited longest, if that
-# is more than this many loads, so that urgent work cannot keep a rare adapter
-# out for ever.
-FAIR_EVERY = 16
-OLD_LOADS = 20.0
+# The value of a request that has not waited yet, in load times.
+INITIAL_VALUE_LOADS = 20.0
+# Every n-th load is for the request that has waited longest, if that is more
+# than MIN_AGE_LOADS load times, so that urgent work cannot starve the rest.
+AGED_LOAD_INTERVAL = 16
+MIN_AGE_LOADS = 20.0
 SMOOTHING = 0.3
-# The leader hears of a value that has grown by this factor.
-NEWS_FACTOR = 1.25
+# The leader is notified when a value has grown by this factor.
+VALUE_UPDATE_FACTOR = 1.25
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A load that is wanted, and its value for the leader of turns."""
+class LoadRequest:
+    """A load to request from the leader of load turns, and its value."""
 
     adapter: AdapterRef
     value: float
@@ -34,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failures:
-    """Count an adapter's failed loads in a row, and when to try again."""
+    """An adapter's consecutive load failures, and when to retry."""
 
     count: int
     retry_at: float
@@ -42,112 +41,133 @@
 
 @dataclass(slots=True)
 class LoadPlan:
-    """Order the loads of one endpoint and follow the one under way.
+    """Order the loads of one endpoint and track the current one.
 
-    ``load_s`` is how long a load takes and ``cycle_s`` how much time passes
-    between two loads here while the weight store serves others in between,
-    ``urgent_cycle_s`` if they are urgent and go first there. All are in
-    seconds and are measured as loads end.
+    ``load_s`` is the duration of a load. ``load_interval_s`` is the time
+    between two loads here, including those of other endpoints in between, and
+    ``urgent_interval_s`` the same for urgent loads, which go first. All are
+    moving averages in seconds.
     """
 
     load_s: float = 0.5
-    cycle_s: float = 0.5
-    urgent_cycle_s: float = 0.5
-    asked: AdapterRef | None = None
+    load_interval_s: float = 0.5
+    urgent_interval_s: float = 0.5
+    requested: AdapterRef | None = None
     loading: AdapterRef | None = None
-    _asked_value: float = 0.0
-    _asked_at: float = 0.0
+    _requested_value: float = 0.0
+    _requested_at: float = 0.0
     _loads: int = 0
     _failures_by_adapter: dict[AdapterRef, Failures] = field(default_factory=dict)
 
     def set_load_time(self, load_s: float) -> None:
-        """Start from the load time that the tree states."""
+        """Set the initial load time, as configured in the tree."""
         self.load_s = load_s
-        self.cycle_s = max(self.cycle_s, load_s)
-        self.urgent_cycle_s = max(self.urgent_cycle_s, load_s)
+        self.load_interval_s = max(self.load_interval_s, load_s)
+        self.urgent_interval_s = max(self.urgent_interval_s, load_s)
 
-    def get_value(self, wait: Wait, now: float) -> float:
-        """Return what a load is worth: urgent first, then most time waited.
+    def get_value(self, backlog: AdapterBacklog, now: float) -> float:
+        """Return a load's value: urgent first, then by total time waited.
 
-        Time waited, and not only the number that waits, keeps the tail of
-        stalls short: a lone request gains on a crowd as it ages.
+        Using the time waited instead of the number of requests keeps tail
+        latency low: the value of a single request grows as it ages.
 
         >>> plan, ref = LoadPlan(), AdapterRef("cups", "1")
-        >>> urgent = plan.get_value(Wait(ref, 0, 1, 0.0, 1.0, 0.0), 9.0)
-        >>> urgent > plan.get_value(Wait(ref, 1, 50, 0.0, 25.0, 0.0), 9.0)
+        >>> urgent = AdapterBacklog(ref, 0, 1, 0.0, 1.0, 0.0)
+        >>> other = AdapterBacklog(ref, 1, 50, 0.0, 25.0, 0.0)
+        >>> plan.get_value(urgent, 9.0) > plan.get_value(other, 9.0)
         True
         """
-        value = wait.get_waited_s(now) + wait.weight * FRESH_LOADS * self.load_s
-        return value + URGENT_VALUE if wait.urgency == MOST_URGENT else value
-
-    def choose(self, waits: Iterable[Wait], now: float) -> Ask | None:
-        """Return the load to ask for next.
-
-        An old wait's turn must be granted before urgent ones elsewhere: an
-        ask that waits at the leader holds up all other loads here.
+        value = (
+            backlog.get_weighted_wait_s(now)
+            + backlog.weight * INITIAL_VALUE_LOADS * self.load_s
+        )
+        return value + URGENT_VALUE if backlog.urgency == MOST_URGENT else value
+
+    def choose(
+        self, backlogs: Iterable[AdapterBacklog], now: float
+    ) -> LoadRequest | None:
+        """Return the load to request next.
+
+        A load for aged requests outranks urgent loads of other endpoints: a
+        request pending at the leader blocks all other loads here.
         """
-        open_waits = [wait for wait in waits if self._may_try(wait.adapter, now)]
-        if not open_waits:
+        candidates = [
+            backlog for backlog in backlogs if self._may_retry(backlog.adapter, now)
+        ]
+        if not candidates:
             return None
-        oldest = min(open_waits, key=lambda wait: wait.oldest)
-        is_old = now - oldest.oldest > OLD_LOADS * self.load_s
-        if is_old and self._loads % FAIR_EVERY == FAIR_EVERY - 1:
-            return Ask(oldest.adapter, FAIR_VALUE, oldest.count)
-        best = max(open_waits, key=lambda wait: self._order(wait, now))
-        return Ask(best.adapter, self.get_value(best, now), best.count)
-
-    def _order(self, wait: Wait, now: float) -> tuple[float, float, AdapterRef]:
-        return (self.get_value(wait, now), -wait.oldest, wait.adapter)
-
-    def rank(self, waits: Iterable[Wait], now: float) -> list[Wait]:
-        """Return the waits in the order of their loads, the next one first."""
-        return sorted(waits, key=lambda wait: self._order(wait, now), reverse=True)
+        oldest = min(candidates, key=lambda backlog: backlog.oldest_at)
+        is_aged = now - oldest.oldest_at > MIN_AGE_LOADS * self.load_s
+        if is_aged and self._loads % AGED_LOAD_INTERVAL == AGED_LOAD_INTERVAL - 1:
+            return LoadRequest(oldest.adapter, AGED_VALUE, oldest.count)
+        best = max(candidates, key=lambda backlog: self._order(backlog, now))
+        return LoadRequest(best.adapter, self.get_value(best, now), best.count)
+
+    def _order(
+        self, backlog: AdapterBacklog, now: float
+    ) -> tuple[float, float, AdapterRef]:
+        return (self.get_value(backlog, now), -backlog.oldest_at, backlog.adapter)
+
+    def rank(
+        self, backlogs: Iterable[AdapterBacklog], now: float
+    ) -> list[AdapterBacklog]:
+        """Return the backlogs in the order of their loads."""
+        return sorted(
+            backlogs, key=lambda backlog: self._order(backlog, now), reverse=True
+        )
 
     def count_ahead(
-        self, adapter: AdapterRef, waits: Iterable[Wait], now: float
+        self, adapter: AdapterRef, backlogs: Iterable[AdapterBacklog], now: float
     ) -> int:
-        """Count the loads that come before this adapter's."""
-        order = {wait.adapter: self._order(wait, now) for wait in waits}
-        own = order.get(adapter)
-        if own is None:
+        """Count the loads ahead of this adapter's."""
+        order = {backlog.adapter: self._order(backlog, now) for backlog in backlogs}
+        own_order = order.get(adapter)
+        if own_order is None:
             return 0
-        return sum(other > own for other in order.values())
+        return sum(other > own_order for other in order.values())
 
     def estimate_s(self, ahead: int, urgency: int = MOST_URGENT + 1) -> float:
-        """Estimate the seconds that the loads ahead of one take."""
+        """Estimate the time that ``ahead`` loads take, in seconds."""
         busy_s = self.load_s / 2 if self.loading is not None else 0.0
         is_urgent = urgency == MOST_URGENT
-        return busy_s + ahead * (self.urgent_cycle_s if is_urgent else self.cycle_s)
-
-    def ask(self, ask: Ask, now: float) -> bool:
-        """Note the ask; return whether the leader must hear of it."""
-        if self.asked == ask.adapter and ask.value < self._asked_value * NEWS_FACTOR:
+        return busy_s + ahead * (
+            self.urgent_interval_s if is_urgent else self.load_interval_s
+        )
+
+    def request(self, request: LoadRequest, now: float) -> bool:
+        """Record a load request; return whether to notify the leader."""
+        if (
+            self.requested == request.adapter
+            and request.value < self._requested_value * VALUE_UPDATE_FACTOR
+        ):
             return False
-        if self.asked != ask.adapter:
-            self._asked_at = now
-        self.asked = ask.adapter
-        self._asked_value = ask.value
+        if self.requested != request.adapter:
+            self._requested_at = now
+        self.requested = request.adapter
+        self._requested_value = request.value
         return True
 
     def withdraw(self) -> None:
-        """Forget the ask."""
-        self.asked = None
+        """Drop the current load request."""
+        self.requested = None
 
     def begin(self, adapter: AdapterRef, now: float) -> None:
-        """Note that a turn was granted and the load begins."""
-        self.asked = None
+        """Record that a turn was granted and the load begins."""
+        self.requested = None
         self.loading = adapter
-        cycle_s = now - self._asked_at + self.load_s
-        self.cycle_s += SMOOTHING * (cycle_s - self.cycle_s)
-        if URGENT_VALUE <= self._asked_value < FAIR_VALUE:
-            self.urgent_cycle_s += SMOOTHING * (cycle_s - self.urgent_cycle_s)
+        load_interval_s = now - self._requested_at + self.load_s
+        self.load_interval_s += SMOOTHING * (load_interval_s - self.load_interval_s)
+        if URGENT_VALUE <= self._requested_value < AGED_VALUE:
+            self.urgent_interval_s += SMOOTHING * (
+                load_interval_s - self.urgent_interval_s
+            )
 
     def abort(self) -> None:
-        """Note that the load could not be ordered."""
+        """Record that the load was not ordered."""
         self.loading = None
 
     def end(self, took_s: float, now: float) -> None:
-        """Note that the load succeeded."""
+        """Record that the load succeeded."""
         assert self.loading is not None
         self._failures_by_adapter.pop(self.loading, None)
         self.loading = None
@@ -155,7 +175,7 @@
         self.load_s += SMOOTHING * (took_s - self.load_s)
 
     def fail(self, adapter: AdapterRef, now: float, retry_s: float) -> int:
-        """Note a failed load; return how many failed in a row."""
+        """Record a failed load; return the count of consecutive failures."""
         self.loading = None
         previous = self._failures_by_adapter.get(adapter)
         count = previous.count + 1 if previous else 1
@@ -164,9 +184,9 @@
         return count
 
     def forget_failures(self, adapter: AdapterRef) -> None:
-        """Let the next request try anew."""
+        """Clear an adapter's failures, so that its next load can start."""
         self._failures_by_adapter.pop(adapter, None)
 
-    def _may_try(self, adapter: AdapterRef, now: float) -> bool:
+    def _may_retry(self, adapter: AdapterRef, now: float) -> bool:
         failures = self._failures_by_adapter.get(adapter)
         return failures is None or now >= failures.retry_at
--- a/fescuekeel/components/owner/scheduling/model.py
+++ b/fescuekeel/components/owner/scheduling/model.py
@@ -29,9 +29,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """A request as the scheduler sees it; times are monotonic seconds.
+    """A request to schedule; times are monotonic seconds.
 
-    ``service_s`` is the expected time on the endpoint, zero if not known.
+    ``service_s`` is the expected time on the endpoint, zero if unknown.
     """
 
     request_id: str
@@ -50,10 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Configured:
-    """The pool's settings, at the start and when the tree changes.
+    """The pool's settings, initially and after each change.
 
-    ``ready`` is false while ownership is being taken over: work is queued,
-    nothing is dispatched, loaded or evicted.
+    ``ready`` is false during a takeover: requests are queued, but nothing is
+    dispatched, loaded or evicted.
     """
 
     slots: int
@@ -66,35 +66,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrived:
-    """A request came in."""
+    """A request arrived."""
 
     work: Work
 
 
 @dataclass(frozen=True, slots=True)
 class Cancelled:
-    """A request's caller went away or its entry gave it up."""
+    """A request was cancelled by its caller or its entry."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """A dispatched request ended on the endpoint, whatever its outcome."""
+    """A dispatched request ended, with any outcome."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TurnGranted:
-    """The leader of load turns granted what ``AskTurn`` asked for."""
+    """The leader granted the load turn that ``AskTurn`` requested."""
 
     adapter: AdapterRef
 
 
 @dataclass(frozen=True, slots=True)
 class LoadEnded:
-    """A load succeeded or failed; ``took_s`` in seconds."""
+    """A load succeeded or failed after ``took_s`` seconds."""
 
     adapter: AdapterRef
     ok: bool
@@ -111,12 +111,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reported:
-    """The endpoint's own report, which lags.
+    """The endpoint's report, which may lag behind its state.
 
-    ``restarted`` is true when its boot id changed: all that was loaded or
-    running there is gone. ``foreign_running`` maps each request that some
-    earlier owner still runs there to its adapter: these occupy room and their
-    adapters must not be evicted.
+    ``restarted`` is true if its boot ID changed, so that all loaded adapters
+    and running requests are lost. ``foreign_running`` maps running requests
+    of previous owners to their adapters, which must not be evicted.
     """
 
     loaded: frozenset[AdapterRef]
@@ -126,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passed: expire what is late, retry what was put off."""
+    """Periodic tick: refuse late requests and retry failed loads."""
 
 
 Event = (
@@ -147,12 +146,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Hand a queued request over to the endpoint.
+    """Dispatch a queued request to the endpoint.
 
-    ``stall_s`` is how long it waited for its adapter's load and ``queue_s``
-    how long it waited in all, less ``held_s``, its wait for a fuller batch:
-    entries take what is left of ``queue_s`` beside the stall for want of room
-    and would send the next request elsewhere, where it needs a load.
+    ``stall_s`` is its wait for the adapter's load, ``held_s`` its delay for a
+    batch, and ``queue_s`` its total wait without ``held_s``. Entries take the
+    part of ``queue_s`` that is not a stall as a sign of a full endpoint and
+    route later requests elsewhere, where they need another load.
     """
 
     request_id: str
@@ -163,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Refuse a queued request that was never handed over."""
+    """Refuse a request that was not dispatched."""
 
     request_id: str
     kind: ErrorKind
@@ -172,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskTurn:
-    """Ask for a load turn; asked again with a new value when it changes."""
+    """Request a load turn, or update the value of a pending request."""
 
     adapter: AdapterRef
     value: float
@@ -181,21 +180,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReturnTurn:
-    """Give back or withdraw a turn that is no longer needed."""
+    """Return a load turn, or withdraw the request for it."""
 
     adapter: AdapterRef
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Order a load, having been granted the turn and a free slot."""
+    """Order a load, with a granted turn and a free slot."""
 
     adapter: AdapterRef
 
 
 @dataclass(frozen=True, slots=True)
 class Evict:
-    """Order an eviction of an adapter that serves nothing."""
+    """Order the eviction of an idle adapter."""
 
     adapter: AdapterRef
 
--- a/fescuekeel/components/owner/scheduling/popularity.py
+++ b/fescuekeel/components/owner/scheduling/popularity.py
@@ -1,4 +1,4 @@
-"""Estimates of how often each adapter will be asked for."""
+"""Popularity of adapters, as an estimate of their next use."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -8,27 +8,27 @@
 __all__ = ["Popularity", "UseEstimate"]
 
 HALF_LIFE_S = 300.0
-# Idle adapters must cost nothing: beyond this many the rarest are forgotten.
-MAX_KNOWN = 4096
+# Bounds the memory: above this number the least popular ones are dropped.
+MAX_TRACKED = 4096
 
 
 class UseEstimate(Protocol):
-    """Estimate from past arrivals how soon an adapter is used again."""
+    """Estimate an adapter's next use from its past arrivals."""
 
     def record(self, adapter: AdapterRef, now: float) -> None:
-        """Take in one arrival."""
+        """Record one arrival."""
 
     def get_score(self, adapter: AdapterRef, now: float) -> float:
-        """Return a score that is higher the sooner the next use is."""
+        """Return a score that is higher for an earlier expected use."""
 
 
 @dataclass(slots=True)
 class Popularity:
-    """Count arrivals of each adapter, older ones for less.
+    """Exponentially decayed count of each adapter's arrivals.
 
-    The count halves with every ``half_life_s``, so that it follows a shift
-    of popularity, unlike a plain count, and is not ruled by the last arrival
-    alone, unlike recency.
+    The count halves with every ``half_life_s``. It follows changes of
+    popularity, unlike a plain count, and considers more than the last
+    arrival, unlike LRU.
 
     >>> popularity = Popularity(half_life_s=10.0)
     >>> popularity.record(AdapterRef("a", "1"), 0.0)
@@ -45,8 +45,8 @@
         """Count one arrival."""
         self._scores_by_adapter[adapter] = self.get_score(adapter, now) + 1.0
         self._times_by_adapter[adapter] = now
-        if len(self._scores_by_adapter) > MAX_KNOWN:
-            self._forget(now)
+        if len(self._scores_by_adapter) > MAX_TRACKED:
+            self._forget_rarest(now)
 
     def get_score(self, adapter: AdapterRef, now: float) -> float:
         """Return the decayed count of arrivals."""
@@ -57,13 +57,13 @@
         return float(score * 0.5 ** (age_s / self.half_life_s))
 
     def rank(self, now: float) -> list[AdapterRef]:
-        """Return the known adapters, the most popular first."""
+        """Return the tracked adapters, most popular first."""
         return sorted(
             self._scores_by_adapter,
             key=lambda adapter: (-self.get_score(adapter, now), adapter),
         )
 
-    def _forget(self, now: float) -> None:
-        for adapter in self.rank(now)[MAX_KNOWN * 3 // 4 :]:
+    def _forget_rarest(self, now: float) -> None:
+        for adapter in self.rank(now)[MAX_TRACKED * 3 // 4 :]:
             del self._scores_by_adapter[adapter]
             del self._times_by_adapter[adapter]
--- a/fescuekeel/components/owner/scheduling/queue.py
+++ b/fescuekeel/components/owner/scheduling/queue.py
@@ -1,4 +1,4 @@
-"""The requests that wait for one endpoint."""
+"""The queue of one endpoint's requests."""
 
 from collections.abc import Callable, Iterable, KeysView
 from dataclasses import dataclass, field
@@ -6,50 +6,50 @@
 from fescuekeel.components.owner.scheduling.model import Work
 from fescuekeel.messages import AdapterRef
 
-__all__ = ["Wait", "WorkQueue", "WorkTest", "order_urgent_first"]
+__all__ = ["AdapterBacklog", "WorkPredicate", "WorkQueue", "order_urgent_first"]
 
-# A second of waiting counts this much less for each step of urgency down.
+# Each lower urgency level divides the weight of waiting time by this factor.
 URGENCY_FACTOR = 1.4
 
-AdapterTest = Callable[[AdapterRef], bool]
-WorkTest = Callable[[Work], bool]
+AdapterPredicate = Callable[[AdapterRef], bool]
+WorkPredicate = Callable[[Work], bool]
 WorkOrder = tuple[int, float, str]
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
-    """Sum up the requests that wait for one adapter to be loaded.
+class AdapterBacklog:
+    """Summary of the requests that wait for one adapter to be loaded.
 
     ``urgency`` is that of the most urgent one and ``weight`` the sum of
-    their weights. ``moment`` sums weight times arrival, so that the weighted
-    time waited at any later time follows without a look at each request.
+    their weights. ``weighted_arrival`` is the sum of weight times arrival,
+    from which the weighted wait at any time follows in constant time.
     """
 
     adapter: AdapterRef
     urgency: int
     count: int
-    oldest: float
+    oldest_at: float
     weight: float
-    moment: float
+    weighted_arrival: float
 
-    def get_waited_s(self, now: float) -> float:
-        """Return the seconds waited by all of them, weighted."""
-        return self.weight * now - self.moment
+    def get_weighted_wait_s(self, now: float) -> float:
+        """Return the weighted sum of their waits, in seconds."""
+        return self.weight * now - self.weighted_arrival
 
 
 def order_urgent_first(work: Work) -> WorkOrder:
-    """Return the sort key of urgent first, then first come."""
+    """Return a sort key: most urgent first, then by arrival."""
     return (work.urgency, work.arrived, work.request_id)
 
 
 def get_weight(work: Work) -> float:
-    """Return what a second of this request's stall counts."""
+    """Return the weight of a second of this request's stall."""
     return float(work.stall_weight * URGENCY_FACTOR**-work.urgency)
 
 
 @dataclass(slots=True)
 class WorkQueue:
-    """Keep waiting requests by adapter, urgent ones first.
+    """Queue of requests, grouped by adapter and picked by urgency.
 
     >>> queue = WorkQueue()
     >>> ref = AdapterRef("cups", "1")
@@ -62,7 +62,7 @@
     order: Callable[[Work], WorkOrder] = order_urgent_first
     _work_by_id: dict[str, Work] = field(default_factory=dict)
     _ids_by_adapter: dict[AdapterRef, dict[str, None]] = field(default_factory=dict)
-    _waits_by_adapter: dict[AdapterRef, Wait] = field(default_factory=dict)
+    _backlogs_by_adapter: dict[AdapterRef, AdapterBacklog] = field(default_factory=dict)
 
     def __len__(self) -> int:
         return len(self._work_by_id)
@@ -72,47 +72,49 @@
 
     @property
     def adapters(self) -> KeysView[AdapterRef]:
-        """Return the adapters that some request waits for."""
+        """Return the adapters of the queued requests."""
         return self._ids_by_adapter.keys()
 
     def add(self, work: Work) -> None:
-        """Put a request in."""
+        """Add a request."""
         self._work_by_id[work.request_id] = work
         self._ids_by_adapter.setdefault(work.adapter, {})[work.request_id] = None
-        self._waits_by_adapter.pop(work.adapter, None)
+        self._backlogs_by_adapter.pop(work.adapter, None)
 
     def remove(self, request_id: str) -> Work | None:
-        """Take a request out; return it, or ``None`` if it was not there."""
+        """Remove and return a request, or ``None`` if it is not queued."""
         work = self._work_by_id.pop(request_id, None)
         if work is None:
             return None
         ids = self._ids_by_adapter[work.adapter]
         del ids[request_id]
-        self._waits_by_adapter.pop(work.adapter, None)
+        self._backlogs_by_adapter.pop(work.adapter, None)
         if not ids:
             del self._ids_by_adapter[work.adapter]
         return work
 
     def list_all(self) -> list[Work]:
-        """Return all requests, the oldest first."""
+        """Return all requests, oldest first."""
         return list(self._work_by_id.values())
 
     def list_adapter(self, adapter: AdapterRef) -> list[Work]:
-        """Return the requests of one adapter, the oldest first."""
+        """Return the requests of one adapter, oldest first."""
         return [self._work_by_id[id] for id in self._ids_by_adapter.get(adapter, ())]
 
-    def pick(self, adapters: Iterable[AdapterRef], is_held: WorkTest) -> Work | None:
-        """Return the first request in order of these adapters, if not held."""
+    def pick(
+        self, adapters: Iterable[AdapterRef], is_delayed: WorkPredicate
+    ) -> Work | None:
+        """Return the first request of these adapters that is not delayed."""
         ready = (
             work
             for adapter in adapters
             for work in self.list_adapter(adapter)
-            if not is_held(work)
+            if not is_delayed(work)
         )
         return min(ready, key=self.order, default=None)
 
-    def count_ready_ahead(self, work: Work, needs_load: AdapterTest) -> int:
-        """Count the requests that need no load and come before this one."""
+    def count_ready_ahead(self, work: Work, needs_load: AdapterPredicate) -> int:
+        """Count the requests ahead of this one that need no load."""
         return sum(
             self.order(other) < self.order(work)
             for adapter in self._ids_by_adapter
@@ -120,25 +122,25 @@
             for other in self.list_adapter(adapter)
         )
 
-    def list_waits(self, needs_load: AdapterTest) -> list[Wait]:
-        """Sum up the waiting requests for each adapter that needs a load."""
+    def list_backlogs(self, needs_load: AdapterPredicate) -> list[AdapterBacklog]:
+        """Return the backlog of each adapter that needs a load."""
         return [
-            self._sum_up(adapter)
+            self._summarize(adapter)
             for adapter in self._ids_by_adapter
             if needs_load(adapter)
         ]
 
-    def _sum_up(self, adapter: AdapterRef) -> Wait:
-        wait = self._waits_by_adapter.get(adapter)
-        if wait is not None:
-            return wait
+    def _summarize(self, adapter: AdapterRef) -> AdapterBacklog:
+        backlog = self._backlogs_by_adapter.get(adapter)
+        if backlog is not None:
+            return backlog
         work = self.list_adapter(adapter)
-        wait = self._waits_by_adapter[adapter] = Wait(
+        backlog = self._backlogs_by_adapter[adapter] = AdapterBacklog(
             adapter=adapter,
             urgency=min(item.urgency for item in work),
             count=len(work),
-            oldest=min(item.arrived for item in work),
+            oldest_at=min(item.arrived for item in work),
             weight=sum(get_weight(item) for item in work),
-            moment=sum(get_weight(item) * item.arrived for item in work),
+            weighted_arrival=sum(get_weight(item) * item.arrived for item in work),
         )
-        return wait
+        return backlog
--- a/fescuekeel/components/owner/scheduling/victims.py
+++ b/fescuekeel/components/owner/scheduling/victims.py
@@ -1,4 +1,4 @@
-"""Which loaded adapter has to go for another one."""
+"""Choice of the adapter to evict for another one."""
 
 from collections.abc import Collection, Iterable
 
@@ -6,13 +6,13 @@
 from fescuekeel.components.owner.scheduling.popularity import UseEstimate
 from fescuekeel.messages import AdapterRef
 
-__all__ = ["choose_coldest", "list_evictable"]
+__all__ = ["choose_least_popular", "list_evictable"]
 
 
 def list_evictable(
     holdings: Holdings, waiting: Collection[AdapterRef], now: float
 ) -> list[AdapterRef]:
-    """Return what serves nothing and is not waited for."""
+    """Return the idle adapters that no queued request waits for."""
     return [
         adapter
         for adapter in holdings
@@ -20,10 +20,10 @@
     ]
 
 
-def choose_coldest(
+def choose_least_popular(
     adapters: Iterable[AdapterRef], popularity: UseEstimate, now: float
 ) -> AdapterRef | None:
-    """Return the adapter with the latest expected next use."""
+    """Return the adapter with the lowest popularity."""
     return min(
         adapters,
         key=lambda adapter: (popularity.get_score(adapter, now), adapter),
--- a/tests/components/owner/common.py
+++ b/tests/components/owner/common.py
@@ -1,4 +1,4 @@
-"""A bed for tests of owners: instances in one loop, a real stand-in engine."""
+"""Test cluster for owners: instances in one event loop, a stand-in engine."""
 
 import asyncio
 import itertools
@@ -38,7 +38,7 @@
 from standins.server import Server
 from tests.common import make_settings
 
-__all__ = ["CUPS", "DRIVER_PACKAGES", "ENDPOINT", "Bed", "Node", "run_story"]
+__all__ = ["CUPS", "DRIVER_PACKAGES", "ENDPOINT", "Cluster", "Node", "run_scenario"]
 
 DRIVER_PACKAGES = (fescuekeel.components.engine, fescuekeel.components.plain)
 CUPS = AdapterRef("cups", "3")
@@ -46,8 +46,8 @@
 POOL = "script"
 
 
-class FreeTurns:
-    """Grant every load turn at once."""
+class ImmediateTurns:
+    """Grant every load turn immediately."""
 
     async def request(
         self, endpoint: str, adapter: AdapterRef, value: float, waiting: int
@@ -76,7 +76,7 @@
 
 
 class Clock:
-    """A clock that can be seen to jump, as after a pause."""
+    """A clock that can skip time, as after a paused process."""
 
     def __init__(self) -> None:
         self.skipped_s = 0.0
@@ -85,16 +85,16 @@
         return asyncio.get_running_loop().time() + self.skipped_s
 
 
-class Link:
-    """Carry messages between the nodes of one bed."""
+class FakeLink:
+    """Deliver messages between the nodes of one cluster."""
 
-    def __init__(self, bed: "Bed", id: str) -> None:
-        self.bed = bed
+    def __init__(self, cluster: "Cluster", id: str) -> None:
+        self.cluster = cluster
         self.id = id
 
     def send(self, instance_id: str, body: Any) -> bool:
-        node = self.bed.nodes_by_id.get(instance_id)
-        if node is None or self.bed.is_cut(self.id, instance_id):
+        node = self.cluster.nodes_by_id.get(instance_id)
+        if node is None or self.cluster.is_partitioned(self.id, instance_id):
             return False
         message = PeerMessage(self.id, 0, body)
         asyncio.get_running_loop().call_soon(node.receive, message)
@@ -103,12 +103,12 @@
     async def ask(
         self, instance_id: str, body: Any, timeout_s: float
     ) -> Result[Any, Failure]:
-        node = self.bed.nodes_by_id.get(instance_id)
-        if node is None or self.bed.is_cut(self.id, instance_id):
+        node = self.cluster.nodes_by_id.get(instance_id)
+        if node is None or self.cluster.is_partitioned(self.id, instance_id):
             return Err(Failure(ErrorKind.PEER_UNREACHABLE))
-        number = next(self.bed.numbers)
+        number = next(self.cluster.ask_numbers)
         answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self.bed.answers_by_number[number] = answer
+        self.cluster.answers_by_ask[number] = answer
         node.receive(PeerMessage(self.id, number, body))
         try:
             return Success(await asyncio.wait_for(answer, timeout_s))
@@ -116,23 +116,23 @@
             return Err(Failure(ErrorKind.PEER_UNREACHABLE))
 
     def answer(self, question: PeerMessage, body: Any) -> None:
-        future = self.bed.answers_by_number.pop(question.number, None)
+        future = self.cluster.answers_by_ask.pop(question.number, None)
         if future is not None and not future.done():
             future.set_result(body)
 
 
 @dataclass
 class Node:
-    """One instance: a real owner, and the entry's side played by the test."""
+    """One instance: a real owner component and a fake entry."""
 
-    bed: "Bed"
+    cluster: "Cluster"
     instance: Instance
     clock: Clock
     owner: Owner
     chunks: list[WorkChunk] = field(default_factory=list)
     ends_by_id: dict[str, WorkEnd] = field(default_factory=dict)
     started: list[WorkStarted] = field(default_factory=list)
-    asked: list[StartAsk] = field(default_factory=list)
+    start_asks: list[StartAsk] = field(default_factory=list)
     questions: list[PeerMessage] = field(default_factory=list)
     grants: bool | None = True
 
@@ -161,7 +161,7 @@
             case WorkStarted() as started:
                 self.started.append(started)
             case StartAsk() as ask:
-                self.asked.append(ask)
+                self.start_asks.append(ask)
                 self.questions.append(message)
                 if self.grants is not None:
                     self.answer_start(message, self.grants)
@@ -169,7 +169,7 @@
                 self.instance.bus.publish_peer(message)
 
     def answer_start(self, question: PeerMessage, granted: bool) -> None:
-        Link(self.bed, self.id).answer(question, StartAnswer(granted))
+        FakeLink(self.cluster, self.id).answer(question, StartAnswer(granted))
 
     async def submit(self, to: str, request_id: str, **changes: Any) -> SubmitAnswer:
         submit = Submit(
@@ -188,11 +188,11 @@
             max_tokens=10,
         )
         submit = replace(submit, **changes)
-        result = await Link(self.bed, self.id).ask(to, submit, 2.0)
+        result = await FakeLink(self.cluster, self.id).ask(to, submit, 2.0)
         return result.unwrap()
 
     def cancel(self, to: str, request_id: str, attempt: int = 1) -> None:
-        Link(self.bed, self.id).send(to, CancelWork(request_id, attempt))
+        FakeLink(self.cluster, self.id).send(to, CancelWork(request_id, attempt))
 
     def positions(self, request_id: str, attempt: int = 1) -> list[int]:
         found: list[int] = []
@@ -203,25 +203,25 @@
 
 
 @dataclass
-class Bed:
-    """Some instances, one engine."""
+class Cluster:
+    """Several instances that share one engine."""
 
     engine: Engine
     server: Server
     fenced: bool
     nodes_by_id: dict[str, Node] = field(default_factory=dict)
-    answers_by_number: dict[int, asyncio.Future[Any]] = field(default_factory=dict)
-    cuts: set[frozenset[str]] = field(default_factory=set)
-    numbers: Any = field(default_factory=lambda: itertools.count(1))
+    answers_by_ask: dict[int, asyncio.Future[Any]] = field(default_factory=dict)
+    partitions: set[frozenset[str]] = field(default_factory=set)
+    ask_numbers: Any = field(default_factory=lambda: itertools.count(1))
 
-    def is_cut(self, first: str, second: str) -> bool:
-        return frozenset({first, second}) in self.cuts
+    def is_partitioned(self, first: str, second: str) -> bool:
+        return frozenset({first, second}) in self.partitions
 
     async def add(self, id: str) -> Node:
         clock = Clock()
         instance = Instance(make_settings(id), clock=clock)
-        instance.components_by_domain[PEERS_DOMAIN] = Link(self, id)  # type: ignore[assignment]
-        instance.components_by_domain["turns"] = FreeTurns()  # type: ignore[assignment]
+        instance.components_by_domain[PEERS_DOMAIN] = FakeLink(self, id)  # type: ignore[assignment]
+        instance.components_by_domain["turns"] = ImmediateTurns()  # type: ignore[assignment]
         pool = Pool(POOL, PoolKind.ENGINE, self.fenced, 2, 4, 0.002, 0.05)
         instance.bus.publish_state(TreeInForce(FakeIntent({POOL: pool})))
         node = Node(self, instance, clock, Owner(instance))
@@ -229,8 +229,8 @@
         await node.owner.start()
         return node
 
-    def show(self, node: Node, *member_ids: str, endpoint: bool = True) -> None:
-        """Let a node believe that these are the members."""
+    def publish_view(self, node: Node, *member_ids: str, endpoint: bool = True) -> None:
+        """Publish a view with these members to a node."""
         entry = LiveEntry(
             ENDPOINT, LiveRole.ENDPOINT, self.server.address, "dc1", 1, pool=POOL
         )
@@ -250,22 +250,22 @@
         await self.server.stop()
 
 
-def run_story(
-    story: Callable[[Bed], Awaitable[None]],
+def run_scenario(
+    scenario: Callable[[Cluster], Awaitable[None]],
     fenced: bool = True,
     settings: EngineSettings | None = None,
 ) -> None:
-    """Run a story on a fresh bed."""
+    """Run a scenario on a new cluster."""
 
     async def main() -> None:
         chosen = settings or EngineSettings(step_ms=2, slots=2, load_s=0.01)
         chosen.fenced = fenced
         engine, server = await start_engine(chosen)
-        bed = Bed(engine, server, fenced)
+        cluster = Cluster(engine, server, fenced)
         try:
             async with asyncio.timeout(40):
-                await story(bed)
+                await scenario(cluster)
         finally:
-            await bed.stop()
+            await cluster.stop()
 
     asyncio.run(main())
--- a/tests/components/owner/scheduling/__init__.py
+++ b/tests/components/owner/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the owner component."""
+"""Tests of the owner component's scheduling."""
--- a/tests/components/owner/scheduling/test_decision.py
+++ b/tests/components/owner/scheduling/test_decision.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions for one endpoint."""
+"""Tests of the scheduling decisions for one endpoint."""
 
 import pytest
 
@@ -29,7 +29,7 @@
 
 
 def load(scheduler, adapter, now):
-    """Grant a turn and let the load, and the eviction before it, succeed."""
+    """Grant a turn; the load, and an eviction before it, succeed."""
     effects = scheduler.handle(model.TurnGranted(adapter), now)
     for effect in effects:
         if isinstance(effect, model.Evict):
@@ -37,20 +37,23 @@
     return scheduler.handle(model.LoadEnded(adapter, True, 0.5), now + 0.5)
 
 
-def list_of(effects, kind):
+def filter_effects(effects, kind):
     return [effect for effect in effects if isinstance(effect, kind)]
 
 
 class TestLoads:
-    def test_one_load_serves_all_that_wait_for_it(self):
+    def test_one_load_serves_all_requests_of_its_adapter(self):
         scheduler = make_scheduler()
         arrive(scheduler, "r1")
         arrive(scheduler, "r2")
         effects = load(scheduler, A, 0.1)
-        assert [e.request_id for e in list_of(effects, model.Dispatch)] == ["r1", "r2"]
+        assert [e.request_id for e in filter_effects(effects, model.Dispatch)] == [
+            "r1",
+            "r2",
+        ]
         assert effects[0].stall_s == 0.6
 
-    def test_urgent_then_most_waiting(self):
+    def test_urgent_loads_first_then_most_waiting(self):
         scheduler = make_scheduler()
         arrive(scheduler, "r1", A)
         assert arrive(scheduler, "r2", B, now=0.1) == []
@@ -59,10 +62,9 @@
         assert (effects[1].adapter, effects[1].waiting) == (B, 2)
         assert arrive(scheduler, "r4", C, urgency=0)[-1].adapter == C
 
-    def test_a_rare_adapter_gets_its_turn_among_popular_ones(self):
-        # A user of a rare adapter waits while popular ones, which always have
-        # more requests waiting, are loaded again and again. It gains on them
-        # as it waits.
+    def test_unpopular_adapter_is_not_starved_by_popular_ones(self):
+        # Popular adapters always have more requests waiting, but the value of
+        # the unpopular one's load grows with its wait.
         scheduler = make_scheduler(model.Configured(1, 2, 0.008, 0.01))
         arrive(scheduler, "rare", C, answer_s=1000.0)
         for number in range(16):
@@ -70,33 +72,33 @@
             adapter = A if number % 2 else B
             for copy in "xy":
                 arrive(scheduler, f"{number}{copy}", adapter, now)
-            asked = scheduler.asked
-            if asked == C:
+            requested = scheduler.requested
+            if requested == C:
                 return
-            for effect in load(scheduler, asked, now):
+            for effect in load(scheduler, requested, now):
                 if isinstance(effect, model.Dispatch):
                     scheduler.handle(model.Finished(effect.request_id), now + 0.5)
         raise AssertionError("the rare adapter never got a turn")
 
-    def test_urgent_work_cannot_keep_the_rest_out_for_ever(self):
-        # Urgent requests arrive faster than the store loads. A request that
-        # can wait gets each sixteenth turn, with a value that also beats the
-        # urgent asks of other endpoints at the leader.
+    def test_urgent_work_does_not_starve_the_rest(self):
+        # Urgent requests arrive faster than the store loads. Every sixteenth
+        # load is for the oldest request, with a value above the urgent load
+        # requests of other endpoints.
         scheduler = make_scheduler(model.Configured(1, 2, 0.008, 0.01))
         effects = arrive(scheduler, "lazy", C, answer_s=1000.0)
         for number in range(20):
             now = 20.0 + number
             urgent = AdapterRef(f"urgent{number}", "1")
             effects += arrive(scheduler, f"r{number}", urgent, now, urgency=0)
-            if scheduler.asked == C:
+            if scheduler.requested == C:
                 assert number >= 15
-                assert list_of(effects, model.AskTurn)[-1].value > 1_000_000.0
+                assert filter_effects(effects, model.AskTurn)[-1].value > 1_000_000.0
                 return
             load(scheduler, urgent, now)
             effects += scheduler.handle(model.Finished(f"r{number}"), now + 0.5)
         raise AssertionError("the request that can wait was starved")
 
-    def test_failed_loads_refuse_after_bounded_tries(self):
+    def test_requests_are_refused_after_the_last_load_attempt(self):
         scheduler = make_scheduler()
         arrive(scheduler, "r1")
         refused = []
@@ -105,10 +107,10 @@
             scheduler.handle(model.Tick(), now)
             scheduler.handle(model.TurnGranted(A), now)
             event = model.LoadEnded(A, False, 0.1)
-            refused += list_of(scheduler.handle(event, now), model.Refuse)
+            refused += filter_effects(scheduler.handle(event, now), model.Refuse)
         assert [item.kind for item in refused] == [ErrorKind.LOAD_FAILED]
 
-    def test_a_turn_not_asked_for_is_given_back(self):
+    def test_unrequested_turn_is_returned(self):
         scheduler = make_scheduler()
         effects = scheduler.handle(model.TurnGranted(A), 0.0)
         assert effects == [model.ReturnTurn(A)]
@@ -116,20 +118,20 @@
 
 class TestEvictions:
     def test_a_serving_adapter_is_never_evicted(self):
-        # A turn that was asked for while the slot was idle arrives after new
-        # work started there: it must be given back, not used to evict.
+        # A turn requested while the slot was idle is granted after a new
+        # request started there: it must be returned, not used to evict.
         scheduler = make_scheduler()
         arrive(scheduler, "r1", A)
         load(scheduler, A, 0.0)
         scheduler.handle(model.Finished("r1"), 1.0)
         arrive(scheduler, "r2", B, now=1.0)
-        assert scheduler.asked == B
+        assert scheduler.requested == B
         arrive(scheduler, "r3", A, now=1.1)
         effects = scheduler.handle(model.TurnGranted(B), 1.2)
-        assert list_of(effects, model.Evict) == []
+        assert filter_effects(effects, model.Evict) == []
         assert model.ReturnTurn(B) in effects
 
-    def test_foreign_work_keeps_its_adapter(self):
+    def test_adapter_of_foreign_work_is_not_evicted(self):
         scheduler = make_scheduler()
         report = model.Reported(frozenset({A}), {"old": A})
         scheduler.handle(report, 0.0)
@@ -138,9 +140,9 @@
         assert [type(item) for item in effects] == [model.AskTurn]
         assert scheduler.handle(model.TurnGranted(B), 1.1) == [model.Evict(A)]
 
-    def test_a_busy_slot_is_drained_for_a_cold_adapter(self):
-        # All slots always serve popular work; a cold adapter's request must
-        # not wait for ever, so that one of them gets no new work.
+    def test_busy_slot_is_drained_for_an_unpopular_adapter(self):
+        # All slots serve popular adapters continuously. One of them must get
+        # no new work, so that the unpopular adapter is not starved.
         scheduler = make_scheduler()
         arrive(scheduler, "r1", A)
         load(scheduler, A, 0.0)
@@ -150,7 +152,7 @@
         assert [item.adapter for item in effects] == [B]
         assert scheduler.handle(model.TurnGranted(B), 1.3) == [model.Evict(A)]
 
-    def test_a_failed_eviction_gives_the_turn_back(self):
+    def test_failed_eviction_returns_the_turn(self):
         scheduler = make_scheduler()
         scheduler.handle(model.Reported(frozenset({A}), {}), 0.0)
         arrive(scheduler, "r1", B)
@@ -169,39 +171,39 @@
         assert effect.kind == ErrorKind.QUEUE_FULL
         assert effect.retry_after_s > 0
 
-    def test_too_late_is_told_at_once(self):
+    def test_late_request_is_refused_on_arrival(self):
         scheduler = make_scheduler()
         (effect,) = arrive(scheduler, "r1", answer_s=0.4)
         assert effect.kind == ErrorKind.TOO_LATE
         assert effect.retry_after_s > 0
 
-    def test_too_late_is_told_as_soon_as_it_is_certain(self):
+    def test_late_request_is_refused_as_soon_as_it_is_certain(self):
         scheduler = make_scheduler()
         arrive(scheduler, "r1", answer_s=2.0)
-        assert list_of(scheduler.handle(model.Tick(), 1.3), model.Refuse) == []
-        (effect,) = list_of(scheduler.handle(model.Tick(), 1.5), model.Refuse)
+        assert filter_effects(scheduler.handle(model.Tick(), 1.3), model.Refuse) == []
+        (effect,) = filter_effects(scheduler.handle(model.Tick(), 1.5), model.Refuse)
         assert effect.kind == ErrorKind.TOO_LATE
 
-    def test_urgent_work_is_not_let_in_to_wait_for_many_loads(self):
-        # Far above the knee urgent work alone fills the store. Its callers
-        # would all wait nearly their whole time; those whose wait is
-        # expected to be long hear at once, with the wait as a hint.
+    def test_urgent_request_is_not_admitted_to_wait_for_many_loads(self):
+        # In overload urgent work alone saturates the store. Requests with a
+        # long expected wait are refused at once, with the wait as a hint,
+        # instead of all waiting until shortly before their deadline.
         scheduler = make_scheduler()
         effects = []
         for number in range(12):
             adapter = AdapterRef(f"u{number:02}", "1")
             now = number / 1000
             effects += arrive(scheduler, f"u{number}", adapter, now, urgency=0)
-        refused = list_of(effects, model.Refuse)
+        refused = filter_effects(effects, model.Refuse)
         assert 0 < len(refused) < 6
         assert {effect.kind for effect in refused} == {ErrorKind.TOO_LATE}
         assert all(effect.retry_after_s > 4.0 for effect in refused)
         lazy = arrive(scheduler, "lazy", B, 0.02, urgency=1)
-        assert not list_of(lazy, model.Refuse)
+        assert not filter_effects(lazy, model.Refuse)
 
-    def test_what_fell_behind_is_told_long_before_it_is_late(self):
-        # A request is let in since little waits ahead of it; then much that
-        # is more urgent comes. Its caller must not hear only at the end.
+    def test_overtaken_request_is_refused_long_before_its_deadline(self):
+        # A request is admitted, then overtaken by many urgent ones. Guards
+        # against refusing it only shortly before its deadline.
         scheduler = make_scheduler()
         arrive(scheduler, "lazy", B, urgency=3, answer_s=4.0)
         scheduler.handle(model.Tick(), 0.05)
@@ -209,18 +211,18 @@
             adapter = AdapterRef(f"u{number}", "1")
             arrive(scheduler, f"u{number}", adapter, now=0.1, urgency=0)
         effects = scheduler.handle(model.Tick(), 1.1)
-        refused = list_of(effects, model.Refuse)
+        refused = filter_effects(effects, model.Refuse)
         assert [effect.request_id for effect in refused] == ["lazy"]
 
-    def test_expired_when_the_owner_was_not_awake(self):
+    def test_request_expires_while_the_owner_is_paused(self):
         scheduler = make_scheduler()
         arrive(scheduler, "r1", answer_s=2.0)
-        (effect,) = list_of(scheduler.handle(model.Tick(), 9.0), model.Refuse)
+        (effect,) = filter_effects(scheduler.handle(model.Tick(), 9.0), model.Refuse)
         assert effect.kind == ErrorKind.EXPIRED
 
 
 class TestTakeover:
-    def test_nothing_is_ordered_while_not_ready(self):
+    def test_no_order_is_given_before_ready(self):
         config = model.Configured(1, 2, 0.008, 0.5, ready=False)
         scheduler = make_scheduler(config)
         scheduler.handle(model.Reported(frozenset({A}), {}), 0.0)
@@ -230,7 +232,7 @@
         effects = scheduler.handle(CONFIG, 0.5)
         assert [type(item) for item in effects] == [model.Dispatch]
 
-    def test_a_restart_loses_what_was_loaded(self):
+    def test_restart_clears_loaded_adapters_and_running_requests(self):
         scheduler = make_scheduler()
         arrive(scheduler, "r1", A)
         load(scheduler, A, 0.0)
@@ -240,7 +242,7 @@
         assert scheduler.running_count == 0
         assert arrive(scheduler, "r2", A, now=1.1)[-1].adapter == A
 
-    def test_an_old_report_does_not_undo_orders(self):
+    def test_outdated_report_does_not_undo_orders(self):
         scheduler = make_scheduler()
         arrive(scheduler, "r1", A)
         load(scheduler, A, 0.0)
@@ -269,29 +271,29 @@
         scheduler.handle(model.Reported(frozenset({A}), {}), 0.0)
         return scheduler
 
-    def test_lazy_work_waits_for_company_where_batches_weigh_more(self):
+    def test_request_is_delayed_for_a_batch_if_batches_weigh_more(self):
         scheduler = self.make_loaded()
         assert scheduler.handle(model.Arrived(self.make_lazy("r1", 0.0)), 0.0) == []
         assert scheduler.handle(model.Arrived(self.make_lazy("r2", 1.0)), 1.0) == []
         effects = scheduler.handle(model.Tick(), 1.9)
         assert [effect.request_id for effect in effects] == ["r1", "r2"]
 
-    def test_the_wait_for_company_is_no_want_of_room(self):
-        # Entries took it for a full endpoint and spread the adapter, which
-        # cost a load for each copy.
+    def test_batch_delay_is_not_counted_as_queue_time(self):
+        # Entries take queue time as a sign of a full endpoint and would route
+        # requests elsewhere, where the adapter needs another load.
         scheduler = self.make_loaded()
         scheduler.handle(model.Arrived(self.make_lazy("r1", 0.0)), 0.0)
         (effect,) = scheduler.handle(model.Tick(), 1.9)
         assert effect.held_s == pytest.approx(1.8)
         assert effect.queue_s == pytest.approx(0.1)
 
-    def test_urgent_work_opens_the_batch_for_all(self):
+    def test_urgent_request_ends_the_batch_delay_for_all(self):
         scheduler = self.make_loaded()
         scheduler.handle(model.Arrived(self.make_lazy("r1", 0.0)), 0.0)
         effects = arrive(scheduler, "r2", A, now=0.5, urgency=0)
         assert [effect.request_id for effect in effects] == ["r2", "r1"]
 
-    def test_nothing_waits_where_stalls_weigh_more(self):
+    def test_no_batch_delay_if_stalls_weigh_more(self):
         scheduler = self.make_loaded()
         work = self.make_lazy("r1", 0.0, batch_weight=0.5)
         assert len(scheduler.handle(model.Arrived(work), 0.0)) == 1
--- a/tests/components/owner/test_arrivals.py
+++ b/tests/components/owner/test_arrivals.py
@@ -1,4 +1,4 @@
-"""Tests of requests that wait to hear where a load takes place."""
+"""Tests of requests that wait for the choice of a load's endpoint."""
 
 import asyncio
 from dataclasses import replace
@@ -18,37 +18,44 @@
     SubmitAnswer,
 )
 from tests.common import eventually
-from tests.components.owner.common import CUPS, ENDPOINT, Bed, Link, Node, run_story
+from tests.components.owner.common import (
+    CUPS,
+    ENDPOINT,
+    Cluster,
+    FakeLink,
+    Node,
+    run_scenario,
+)
 
 OTHER = "e2"
 HELD = CopyAnswer(OTHER, owned=True, held=True)
 WORSE = CopyAnswer(OTHER, owned=True, held=False, score=9.0)
 
 
-class OtherOwner:
-    """Play the owner of the adapter's other endpoint."""
+class FakeOtherOwner:
+    """Fake owner of the adapter's other candidate endpoint."""
 
-    def __init__(self, bed: Bed) -> None:
-        self.bed = bed
+    def __init__(self, cluster: Cluster) -> None:
+        self.cluster = cluster
         self.asked: list[PeerMessage] = []
-        self.says: CopyAnswer | None = HELD
+        self.reply: CopyAnswer | None = HELD
 
     def receive(self, message: PeerMessage) -> None:
         if not isinstance(message.body, CopyAsk):
             return
         self.asked.append(message)
-        if self.says is not None:
-            self.answer(self.says)
+        if self.reply is not None:
+            self.answer(self.reply)
 
     def answer(self, body: CopyAnswer) -> None:
-        Link(self.bed, "i2").answer(self.asked[-1], body)
+        FakeLink(self.cluster, "i2").answer(self.asked[-1], body)
 
 
-async def start(bed: Bed) -> tuple[Node, OtherOwner]:
-    """Let one node own an endpoint beside another one that is played."""
-    node, other = await bed.add("i1"), OtherOwner(bed)
-    bed.nodes_by_id["i2"] = other  # type: ignore[assignment]
-    bed.show(node, "i1")
+async def start(cluster: Cluster) -> tuple[Node, FakeOtherOwner]:
+    """Start a node that owns one endpoint, and a fake owner of another."""
+    node, other = await cluster.add("i1"), FakeOtherOwner(cluster)
+    cluster.nodes_by_id["i2"] = other  # type: ignore[assignment]
+    cluster.publish_view(node, "i1")
     await eventually(lambda: node.state == "owned")
     view = node.instance.bus.latest(MemberView)
     assert view is not None
@@ -60,15 +67,15 @@
     return node, other
 
 
-def run(story: Any) -> None:
-    async def whole(bed: Bed) -> None:
-        node, other = await start(bed)
+def run(scenario: Any) -> None:
+    async def with_other_owner(cluster: Cluster) -> None:
+        node, other = await start(cluster)
         try:
-            await story(bed, node, other)
+            await scenario(cluster, node, other)
         finally:
-            del bed.nodes_by_id["i2"]
+            del cluster.nodes_by_id["i2"]
 
-    run_story(whole)
+    run_scenario(with_other_owner)
 
 
 def spawn(node: Node, id: str, **changes: Any) -> asyncio.Task[SubmitAnswer]:
@@ -76,40 +83,42 @@
 
 
 class TestMoves:
-    def test_a_request_goes_where_the_copy_is(self) -> None:
-        async def story(bed: Bed, node: Node, other: OtherOwner) -> None:
+    def test_request_is_redirected_to_the_endpoint_with_the_adapter(self) -> None:
+        async def scenario(cluster: Cluster, node: Node, other: FakeOtherOwner) -> None:
             answer = await node.submit("i1", "r1")
             assert answer == SubmitAnswer(False, ErrorKind.MOVED, endpoint=OTHER)
             assert other.asked[0].body == CopyAsk(OTHER, CUPS)
             assert not node.endpoint.scheduler.queued_count
-            assert not bed.engine.orders
+            assert not cluster.engine.orders
             assert node.endpoint.arrivals.is_empty
 
-        run(story)
+        run(scenario)
 
-    def test_it_stays_when_more_would_be_lost_there(self) -> None:
-        async def story(bed: Bed, node: Node, other: OtherOwner) -> None:
-            other.says = WORSE
+    def test_request_stays_if_the_other_endpoint_would_evict_a_more_popular_one(
+        self,
+    ) -> None:
+        async def scenario(cluster: Cluster, node: Node, other: FakeOtherOwner) -> None:
+            other.reply = WORSE
             assert (await node.submit("i1", "r1", repeatable=False)).accepted
             await eventually(lambda: "r1" in node.ends_by_id)
             assert (await node.submit("i1", "r2")).accepted
             await eventually(lambda: "r2" in node.ends_by_id)
-            assert [each.request_id for each in bed.engine.runs] == ["r1", "r2"]
-            # What is loaded needs no question.
+            assert [each.request_id for each in cluster.engine.runs] == ["r1", "r2"]
+            # A request for a loaded adapter asks nobody.
             assert len(other.asked) == 1
 
-        run(story)
+        run(scenario)
 
-    def test_what_was_moved_before_stays(self) -> None:
-        async def story(bed: Bed, node: Node, other: OtherOwner) -> None:
+    def test_request_is_redirected_only_once(self) -> None:
+        async def scenario(cluster: Cluster, node: Node, other: FakeOtherOwner) -> None:
             assert (await node.submit("i1", "r1", moved=True)).accepted
             assert not other.asked
 
-        run(story)
+        run(scenario)
 
-    def test_one_question_serves_all_that_wait(self) -> None:
-        async def story(bed: Bed, node: Node, other: OtherOwner) -> None:
-            other.says = None
+    def test_one_question_covers_all_deferred_requests(self) -> None:
+        async def scenario(cluster: Cluster, node: Node, other: FakeOtherOwner) -> None:
+            other.reply = None
             tasks = [spawn(node, f"r{number}") for number in range(3)]
             await eventually(lambda: len(other.asked) == 1)
             other.answer(HELD)
@@ -117,30 +126,30 @@
             assert kinds == [ErrorKind.MOVED] * 3
             assert len(other.asked) == 1
 
-        run(story)
+        run(scenario)
 
 
 class TestWithoutAnswer:
-    """The other owner is dead, slow or has just given its endpoint up."""
+    """The other owner does not answer or no longer owns its endpoint."""
 
-    def test_silence_and_no_owner_let_it_stay(self) -> None:
-        async def story(bed: Bed, node: Node, other: OtherOwner) -> None:
-            other.says = None
+    def test_request_stays_without_an_answer_or_an_owner(self) -> None:
+        async def scenario(cluster: Cluster, node: Node, other: FakeOtherOwner) -> None:
+            other.reply = None
             assert (await node.submit("i1", "r1")).accepted
             counters = node.instance.metrics.counters_by_name
             assert counters["owner.copy_unanswered"] == 1
             await eventually(lambda: "r1" in node.ends_by_id)
-            other.says = replace(HELD, owned=False)
+            other.reply = replace(HELD, owned=False)
             coins = replace(CUPS, name="coins")
             assert (await node.submit("i1", "r2", adapter=coins)).accepted
 
-        run(story)
+        run(scenario)
 
-    def test_what_its_entry_gave_up_is_not_taken_in(self) -> None:
-        """A caller goes away, or its entry dies, while its request waits."""
+    def test_cancelled_deferred_request_is_not_accepted(self) -> None:
+        """A request is cancelled while it is deferred."""
 
-        async def story(bed: Bed, node: Node, other: OtherOwner) -> None:
-            other.says = None
+        async def scenario(cluster: Cluster, node: Node, other: FakeOtherOwner) -> None:
+            other.reply = None
             cancelled = spawn(node, "r1")
             await eventually(lambda: len(other.asked) == 1)
             node.cancel("i1", "r1", attempt=7)
@@ -150,32 +159,34 @@
             other.answer(WORSE)
             assert (await kept).accepted
             await eventually(lambda: "r2" in node.ends_by_id)
-            assert [each.request_id for each in bed.engine.runs] == ["r2"]
+            assert [each.request_id for each in cluster.engine.runs] == ["r2"]
             cancelled.cancel()
 
-        run(story)
+        run(scenario)
 
-    def test_what_waits_of_a_lost_entry_is_refused(self) -> None:
-        async def story(bed: Bed, node: Node, other: OtherOwner) -> None:
-            other.says = None
+    def test_deferred_request_of_a_lost_entry_is_refused(self) -> None:
+        async def scenario(cluster: Cluster, node: Node, other: FakeOtherOwner) -> None:
+            other.reply = None
             task = spawn(node, "r1")
             await eventually(lambda: len(other.asked) == 1)
             node.instance.bus.publish(PeerLost("i1"))
             assert (await task).kind == ErrorKind.NOT_OWNER
             other.answer(WORSE)
             await eventually(lambda: node.endpoint.arrivals.is_empty)
-            assert not bed.engine.runs
+            assert not cluster.engine.runs
 
-        run(story)
+        run(scenario)
 
 
 class TestAnswers:
-    def test_an_owner_tells_its_situation(self) -> None:
-        async def story(bed: Bed, node: Node, other: OtherOwner) -> None:
-            link = Link(bed, "i2")
+    def test_owner_answers_with_its_load_candidate(self) -> None:
+        async def scenario(cluster: Cluster, node: Node, other: FakeOtherOwner) -> None:
+            link = FakeLink(cluster, "i2")
             result = await link.ask("i1", CopyAsk(ENDPOINT, CUPS), 1.0)
             assert result.unwrap() == CopyAnswer(ENDPOINT, True, False, -1.0, 0)
             result = await link.ask("i1", CopyAsk("e9", CUPS), 1.0)
-            assert result.unwrap() == arrivals.make_answer(CopyAsk("e9", CUPS), None)
+            assert result.unwrap() == arrivals.make_copy_answer(
+                CopyAsk("e9", CUPS), None
+            )
 
-        run(story)
+        run(scenario)
