--- a/tests/components/owner/test_endpoint.py
+++ b/tests/components/owner/test_endpoint.py
@@ -1,4 +1,4 @@
-"""Tests of owners at work on a stand-in engine, under failures."""
+"""Tests of owners with a stand-in engine, under failures."""
 
 import asyncio
 from dataclasses import replace
@@ -16,7 +16,7 @@
 )
 from standins.engine_state import EngineSettings
 from tests.common import eventually
-from tests.components.owner.common import CUPS, Bed, Node, run_story
+from tests.components.owner.common import CUPS, Cluster, Node, run_scenario
 
 COINS = AdapterRef("coins", "1")
 ROPES = AdapterRef("ropes", "1")
@@ -24,13 +24,13 @@
 NO_WAIT_S = 0.3
 
 
-def get_runs(bed: Bed) -> list[str]:
-    return [run.request_id for run in bed.engine.runs]
+def get_runs(cluster: Cluster) -> list[str]:
+    return [run.request_id for run in cluster.engine.runs]
 
 
-async def start_owned(bed: Bed, id: str = "i1", *others: str) -> Node:
-    node = await bed.add(id)
-    bed.show(node, id, *others)
+async def start_owned(cluster: Cluster, id: str = "i1", *others: str) -> Node:
+    node = await cluster.add(id)
+    cluster.publish_view(node, id, *others)
     await eventually(lambda: node.state == "owned")
     return node
 
@@ -43,42 +43,42 @@
     return end is not None and end.attempt == attempt
 
 
-class TestPath:
+class TestSubmit:
     def test_request_is_loaded_dispatched_and_streamed(self) -> None:
-        async def story(bed: Bed) -> None:
-            node = await bed.add("i1")
-            bed.show(node, "i1")
+        async def scenario(cluster: Cluster) -> None:
+            node = await cluster.add("i1")
+            cluster.publish_view(node, "i1")
             answer = await node.submit("i1", "r1")
             assert answer.accepted
             await eventually(lambda: "r1" in node.ends_by_id)
             assert node.ends_by_id["r1"].kind == ""
             assert node.positions("r1") == list(range(10))
-            assert get_runs(bed) == ["r1"]
-            assert list(bed.engine.loaded) == [str(CUPS)]
+            assert get_runs(cluster) == ["r1"]
+            assert list(cluster.engine.loaded) == [str(CUPS)]
             assert node.chunks[-1].tokens == 0
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_instance_that_is_not_named_refuses(self) -> None:
-        async def story(bed: Bed) -> None:
-            node = await bed.add("i1")
-            bed.show(node, "other")
+    def test_instance_that_is_not_the_owner_refuses(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
+            node = await cluster.add("i1")
+            cluster.publish_view(node, "other")
             answer = await node.submit("i1", "r1")
             assert (answer.accepted, answer.kind) == (False, ErrorKind.NOT_OWNER)
 
-        run_story(story)
+        run_scenario(scenario)
 
 
-class TestLeave:
-    def test_hand_over_needs_the_entry_s_leave(self) -> None:
-        """An entry gives up on a slow owner and sends a charge elsewhere.
+class TestStartAndCancel:
+    def test_non_repeatable_request_starts_only_if_the_entry_permits(self) -> None:
+        """An entry retries a non-repeatable request on another owner.
 
-        The slow owner reaches it in its queue later. Without asking the entry
-        it would run a second time.
+        Guards against the first owner starting it as well when it reaches it
+        in its queue.
         """
 
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
             for grants, request_id in ((False, "r1"), (None, "r2"), (True, "r3")):
                 node.grants = grants
                 await node.submit("i1", request_id, repeatable=False)
@@ -87,13 +87,13 @@
                     await eventually(lambda id=request_id: id in node.ends_by_id)
             assert node.ends_by_id["r2"].ran == "no"
             assert node.ends_by_id["r3"].kind == ""
-            assert get_runs(bed) == ["r3"]
+            assert get_runs(cluster) == ["r3"]
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_cancelled_work_stops(self) -> None:
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
+    def test_cancelled_request_stops(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
             await node.submit("i1", "r1", max_tokens=LONG)
             await eventually(lambda: node.positions("r1"))
             node.cancel("i1", "r1", attempt=7)
@@ -102,20 +102,18 @@
             end = node.ends_by_id["r1"]
             assert end.kind in ("answer_cut", "cancelled")
             assert end.ran != "no"
-            assert not bed.engine.running
+            assert not cluster.engine.running
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_a_late_cancellation_spares_the_next_attempt(self) -> None:
-        """A script ends as "cancelled" although its caller still waits.
+    def test_late_cancellation_does_not_stop_the_next_attempt(self) -> None:
+        """The cancellation of attempt 1 reaches the engine late.
 
-        Attempt 1 is cancelled before its first token, and attempt 2 of the
-        same request follows. What is sent to stop attempt 1 reaches the
-        engine late, when attempt 2 could run there already.
+        Guards against stopping attempt 2, whose caller still waits.
         """
 
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
             driver = node.endpoint.driver
             cancel = driver.cancel
 
@@ -123,10 +121,10 @@
                 await asyncio.sleep(LATE_S)
                 await cancel(request_id)
 
-            bed.engine.settings.prefill_steps = LONG
+            cluster.engine.settings.prefill_steps = LONG
             await node.submit("i1", "r1", max_tokens=LONG)
-            await eventually(lambda: bed.engine.running)
-            bed.engine.settings.prefill_steps = 0
+            await eventually(lambda: cluster.engine.running)
+            cluster.engine.settings.prefill_steps = 0
             with mock.patch.object(driver, "cancel", cancel_late):
                 node.cancel("i1", "r1")
                 await node.submit("i1", "r1", attempt=2, max_tokens=200)
@@ -134,16 +132,16 @@
             assert node.ends_by_id["r1"].kind == ""
             assert node.positions("r1", 2) == list(range(200))
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_a_cancellation_outlives_the_run_that_it_stops(self) -> None:
-        """As above, but attempt 1 has ended when attempt 2 arrives.
+    def test_repeated_cancellation_does_not_stop_the_next_attempt(self) -> None:
+        """A second cancellation of attempt 1 arrives after it has ended.
 
-        The cancellation was sent twice, and the second one is on its way.
+        Guards against stopping attempt 2, which was submitted meanwhile.
         """
 
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
             driver = node.endpoint.driver
             cancel = driver.cancel
 
@@ -152,10 +150,10 @@
                 await asyncio.sleep(LATE_S)
                 await cancel(request_id)
 
-            bed.engine.settings.prefill_steps = LONG
+            cluster.engine.settings.prefill_steps = LONG
             await node.submit("i1", "r1", max_tokens=LONG)
-            await eventually(lambda: bed.engine.running)
-            bed.engine.settings.prefill_steps = 0
+            await eventually(lambda: cluster.engine.running)
+            cluster.engine.settings.prefill_steps = 0
             with mock.patch.object(driver, "cancel", cancel_twice):
                 node.cancel("i1", "r1")
                 await eventually(lambda: is_ended(node, "r1", 1))
@@ -164,142 +162,139 @@
             assert node.ends_by_id["r1"].kind == ""
             assert node.positions("r1", 2) == list(range(200))
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_work_past_its_time_is_stopped_at_the_engine(self) -> None:
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
+    def test_request_past_its_deadline_is_stopped_at_the_engine(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
             await node.submit("i1", "r1", max_tokens=LONG, remaining_ms=300)
             await eventually(lambda: "r1" in node.ends_by_id)
             assert node.ends_by_id["r1"].kind == "answer_cut"
-            await eventually(lambda: not bed.engine.running)
+            await eventually(lambda: not cluster.engine.running)
 
         with mock.patch.object(run, "RUNNING_GRACE_S", NO_WAIT_S):
-            run_story(story)
+            run_scenario(scenario)
 
 
 class TestTwoOwners:
-    def test_fenced_engine_refuses_the_earlier_owner(self) -> None:
-        """Two views differ, and each names its own instance for a while.
+    def test_fenced_engine_refuses_the_previous_owner(self) -> None:
+        """Two instances own the same endpoint, as their views differ.
 
-        Requests come to both. The engine obeys the one with the higher
-        number; the other's order is refused, did not run, and its caller is
-        told so. No answer is cut.
+        The engine refuses orders with the lower fencing token; the caller
+        learns that its request did not run, and no answer is cut.
         """
 
-        async def story(bed: Bed) -> None:
-            first = await start_owned(bed, "i1")
-            second = await start_owned(bed, "i2")
+        async def scenario(cluster: Cluster) -> None:
+            first = await start_owned(cluster, "i1")
+            second = await start_owned(cluster, "i2")
             await second.submit("i2", "r2")
             await eventually(lambda: "r2" in second.ends_by_id)
             await first.submit("i1", "r1")
             await eventually(lambda: "r1" in first.ends_by_id)
             assert first.ends_by_id["r1"].ran == "no"
             assert first.instance.metrics.counters_by_name["owner.stale_fence"] == 1
-            assert get_runs(bed) == ["r2"]
-            assert not bed.engine.evictions_while_serving
+            assert get_runs(cluster) == ["r2"]
+            assert not cluster.engine.evictions_while_serving
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_paused_owner_that_wakes_up_gives_no_order(self) -> None:
-        """An owner is paused with a request in its queue, and wakes up.
+    def test_resumed_owner_gives_no_order(self) -> None:
+        """An owner resumes with a queued request after another took over.
 
-        Its engine ignores fencing numbers, and another owner has taken over.
-        What it had queued must not reach the engine, and the entry must hear
-        that it did not run.
+        The engine ignores fencing tokens. The request must not reach it, and
+        the entry must learn that it did not run.
         """
 
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
             node.grants = None
             await node.submit("i1", "r1", repeatable=False)
-            await eventually(lambda: node.asked)
+            await eventually(lambda: node.start_asks)
             node.clock.skipped_s += 60.0
             question = node.questions[-1]
             node.answer_start(question, granted=True)
             await eventually(lambda: "r1" in node.ends_by_id)
             assert node.ends_by_id["r1"].kind == "not_owner"
             assert node.ends_by_id["r1"].ran == "no"
-            assert get_runs(bed) == []
+            assert get_runs(cluster) == []
 
-        run_story(story, fenced=False)
+        run_scenario(scenario, fenced=False)
 
 
 class TestTakeover:
-    def start_stream(self, bed: Bed, adapter: AdapterRef) -> None:
-        """Let the engine run a long stream of an owner that is gone."""
-        bed.engine.loaded[str(adapter)] = None
-        bed.engine.submit("old", str(adapter), "x", LONG, 0)
+    def start_stream(self, cluster: Cluster, adapter: AdapterRef) -> None:
+        """Run a long stream of a lost owner on the engine."""
+        cluster.engine.loaded[str(adapter)] = None
+        cluster.engine.submit("old", str(adapter), "x", LONG, 0)
 
-    def test_never_evicts_what_serves(self) -> None:
-        """An owner dies in the middle of a long script.
+    def test_never_evicts_a_serving_adapter(self) -> None:
+        """An owner dies while a request runs, and no slot is free.
 
-        Its successor has requests for other adapters and no free slot. The
-        script goes on to its end, and only what serves nothing is evicted.
+        Guards against its successor evicting the adapter that still serves.
         """
 
-        async def story(bed: Bed) -> None:
-            self.start_stream(bed, COINS)
-            bed.engine.loaded[str(CUPS)] = None
-            node = await start_owned(bed)
+        async def scenario(cluster: Cluster) -> None:
+            self.start_stream(cluster, COINS)
+            cluster.engine.loaded[str(CUPS)] = None
+            node = await start_owned(cluster)
             await node.submit("i1", "r1", adapter=ROPES)
             await eventually(lambda: "r1" in node.ends_by_id)
             assert node.ends_by_id["r1"].kind == ""
-            assert not bed.engine.evictions_while_serving
-            assert str(COINS) in bed.engine.loaded
-            assert str(CUPS) not in bed.engine.loaded
+            assert not cluster.engine.evictions_while_serving
+            assert str(COINS) in cluster.engine.loaded
+            assert str(CUPS) not in cluster.engine.loaded
 
         with mock.patch.object(ownership, "REPORT_LAG_S", NO_WAIT_S):
-            run_story(story)
+            run_scenario(scenario)
 
-    def test_trusts_entries_more_than_an_old_report(self) -> None:
-        """The report is seconds old, and the entry knows of newer work.
+    def test_adapter_of_a_request_known_only_from_its_entry_is_kept(self) -> None:
+        """The report lags behind a request that only its entry knows of.
 
-        What only the entry knows of must keep its adapter all the same.
+        Guards against evicting the adapter of that request.
         """
 
-        async def story(bed: Bed) -> None:
-            await bed.add("i2")
+        async def scenario(cluster: Cluster) -> None:
+            await cluster.add("i2")
             known = (RunningWork("old", COINS, 60_000),)
-            bed.nodes_by_id["i2"].instance.bus.publish_state(
+            cluster.nodes_by_id["i2"].instance.bus.publish_state(
                 EntryOpenWork(lambda endpoint: known)
             )
-            bed.engine.loaded |= {str(CUPS): None, str(COINS): None}
-            bed.engine.report()
-            self.start_stream(bed, COINS)
-            node = await start_owned(bed, "i1", "i2")
+            cluster.engine.loaded |= {str(CUPS): None, str(COINS): None}
+            cluster.engine.report()
+            self.start_stream(cluster, COINS)
+            node = await start_owned(cluster, "i1", "i2")
             await node.submit("i1", "r1", adapter=ROPES)
             await eventually(lambda: "r1" in node.ends_by_id)
-            assert not bed.engine.evictions_while_serving
+            assert not cluster.engine.evictions_while_serving
 
         settings = EngineSettings(step_ms=2, slots=2, report_lag_s=60.0)
         with mock.patch.object(ownership, "REPORT_LAG_S", NO_WAIT_S):
-            run_story(story, settings=settings)
+            run_scenario(scenario, settings=settings)
 
     def test_stream_is_resumed_through_the_new_owner(self) -> None:
-        """An owner is killed in mid-stream; the entry asks its successor.
+        """An owner is killed during a stream, and the entry asks the next one.
 
-        The caller gets the rest of the tokens, each once, from the run that
-        goes on in the engine.
+        The caller must get the remaining tokens, each once, without a second
+        run on the engine.
         """
 
-        async def story(bed: Bed) -> None:
-            self.start_stream(bed, CUPS)
-            node = await start_owned(bed)
+        async def scenario(cluster: Cluster) -> None:
+            self.start_stream(cluster, CUPS)
+            node = await start_owned(cluster)
             changes = {"attempt": 2, "resume": True, "resume_position": 5}
             answer = await node.submit("i1", "old", max_tokens=LONG, **changes)
             assert answer.accepted
             await eventually(lambda: len(node.positions("old", 2)) > 20)
             first, *_ = positions = node.positions("old", 2)
             assert positions == list(range(5, 5 + len(positions)))
-            assert get_runs(bed) == ["old"]
+            assert get_runs(cluster) == ["old"]
             assert first == 5
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_lost_pieces_are_read_again_by_the_same_owner(self) -> None:
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
+    def test_lost_chunks_are_resumed_by_the_same_owner(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
             await node.submit("i1", "r1", max_tokens=300)
             await eventually(lambda: len(node.positions("r1")) > 10)
             changes = {"attempt": 2, "resume": True, "resume_position": 4}
@@ -307,48 +302,48 @@
             await eventually(lambda: "r1" in node.ends_by_id)
             assert node.ends_by_id["r1"].attempt == 2
             assert node.positions("r1", 2) == list(range(4, 300))
-            assert get_runs(bed) == ["r1"]
+            assert get_runs(cluster) == ["r1"]
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_pieces_lost_with_a_connection_leave_no_hole(self) -> None:
-        """The connection to an entry breaks in mid-stream and comes back.
+    def test_chunks_lost_with_a_connection_are_resent(self) -> None:
+        """The connection to an entry breaks during a stream and is restored.
 
-        Some pieces are lost with it. The entry takes only the next token, so
-        that the caller would wait for ever, or get half an answer as whole.
+        Guards against a gap: the entry accepts only the next token, so the
+        caller would wait forever or get a truncated answer.
         """
 
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
             await node.submit("i1", "r1", max_tokens=300)
             await eventually(lambda: len(node.positions("r1")) > 10)
             del node.chunks[3:]
-            stands_at = len(node.positions("r1"))
+            next_position = len(node.positions("r1"))
             node.instance.bus.publish(PeerLost("i1", reachable=True))
             await eventually(lambda: "r1" in node.ends_by_id)
             assert node.ends_by_id["r1"].kind == ""
             for chunk in node.chunks[3:]:
-                if chunk.position == stands_at:
-                    stands_at += chunk.tokens
-            assert stands_at == 300
-            assert get_runs(bed) == ["r1"]
+                if chunk.position == next_position:
+                    next_position += chunk.tokens
+            assert next_position == 300
+            assert get_runs(cluster) == ["r1"]
 
-        run_story(story)
+        run_scenario(scenario)
 
 
 class TestEngineFailures:
-    def test_cold_restart_reloads_and_tells(self) -> None:
-        """An engine restarts and has lost its adapters and requests.
+    def test_engine_restart_cuts_streams_and_reloads_adapters(self) -> None:
+        """An engine restarts and loses its adapters and requests.
 
-        The stream that ran is reported as cut, not as whole, and the next
-        request finds its adapter loaded again.
+        The running stream must be reported as cut, and the next request must
+        find its adapter loaded again.
         """
 
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
             await node.submit("i1", "r1", max_tokens=LONG)
             await eventually(lambda: node.positions("r1"))
-            bed.engine.restart()
+            cluster.engine.restart()
             await eventually(lambda: "r1" in node.ends_by_id)
             assert node.ends_by_id["r1"].kind == "answer_cut"
             counters = node.instance.metrics.counters_by_name
@@ -357,58 +352,60 @@
             await eventually(lambda: "r2" in node.ends_by_id)
             assert node.ends_by_id["r2"].kind == ""
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_load_that_fails_partway_is_tried_again(self) -> None:
-        async def story(bed: Bed) -> None:
-            bed.engine.settings.fail_loads = 1
-            node = await start_owned(bed)
+    def test_failed_load_is_retried(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
+            cluster.engine.settings.fail_loads = 1
+            node = await start_owned(cluster)
             await node.submit("i1", "r1")
             await eventually(lambda: "r1" in node.ends_by_id)
             assert node.ends_by_id["r1"].kind == ""
             assert node.instance.metrics.counters_by_name["owner.load_failed"] == 1
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_load_that_always_fails_means_not_run(self) -> None:
-        async def story(bed: Bed) -> None:
-            bed.engine.settings.fail_loads = 1000
-            node = await start_owned(bed)
+    def test_request_does_not_run_if_all_loads_fail(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
+            cluster.engine.settings.fail_loads = 1000
+            node = await start_owned(cluster)
             await node.submit("i1", "r1")
             await eventually(lambda: "r1" in node.ends_by_id)
             end = node.ends_by_id["r1"]
             assert (end.kind, end.ran) == ("load_failed", "no")
-            assert get_runs(bed) == []
+            assert get_runs(cluster) == []
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_fault_of_ours_is_answered(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A caller waits for ever since its task died of a bug."""
+    def test_internal_error_is_reported_to_the_entry(
+        self, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
+        """Guards against a caller that waits forever after its task failed."""
 
         async def fail(failing: run.Run) -> None:
             raise RuntimeError("bug")
 
-        async def story(bed: Bed) -> None:
+        async def scenario(cluster: Cluster) -> None:
             monkeypatch.setattr(run.Run, "run", fail)
-            node = await start_owned(bed)
+            node = await start_owned(cluster)
             await node.submit("i1", "r1")
             await eventually(lambda: "r1" in node.ends_by_id)
             end = node.ends_by_id["r1"]
             assert (end.kind, end.ran) == (ErrorKind.INTERNAL, "unknown")
             assert node.instance.metrics.counters_by_name["owner.run_error"] == 1
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_eviction_without_an_answer_counts_as_done(self) -> None:
-        """An eviction is sent and its connection goes silent.
+    def test_unconfirmed_eviction_counts_as_done(self) -> None:
+        """An eviction is not answered and may be executed at any later time.
 
-        It may be obeyed at any later time. The adapter must not be handed
-        more work, and a new number keeps the order from being obeyed late.
+        The adapter must get no more requests, and a new fencing token must
+        make the engine refuse the late order.
         """
 
-        async def story(bed: Bed) -> None:
-            bed.engine.loaded |= {str(CUPS): None, str(COINS): None}
-            node = await start_owned(bed)
+        async def scenario(cluster: Cluster) -> None:
+            cluster.engine.loaded |= {str(CUPS): None, str(COINS): None}
+            node = await start_owned(cluster)
             before = node.endpoint.ownership.fence
             await asyncio.sleep(2 * NO_WAIT_S)
             with mock.patch.object(
@@ -421,23 +418,23 @@
             assert node.endpoint.ownership.fence > before
 
         with mock.patch.object(ownership, "REPORT_LAG_S", NO_WAIT_S):
-            run_story(story)
+            run_scenario(scenario)
 
 
 class TestHandover:
-    def test_graceful_stop_cuts_nothing(self) -> None:
-        """An owner is told to shut down while it streams.
+    def test_graceful_shutdown_cuts_no_stream(self) -> None:
+        """An owner shuts down while it streams.
 
-        The stream goes on through it to its end. What it had queued runs
-        elsewhere, and its successor owns the endpoint without any wait for
-        the old lease, although the engine ignores fencing numbers.
+        The stream must continue to its end, and its successor must own the
+        endpoint without waiting for the lease, although the engine ignores
+        fencing tokens.
         """
 
-        async def story(bed: Bed) -> None:
-            first = await start_owned(bed, "i1")
-            second = await bed.add("i2")
+        async def scenario(cluster: Cluster) -> None:
+            first = await start_owned(cluster, "i1")
+            second = await cluster.add("i2")
             for node in (first, second):
-                bed.show(node, "i1", "i2")
+                cluster.publish_view(node, "i1", "i2")
             await eventually(lambda: first.endpoint.ownership.may_evict(first.now))
             await first.submit("i1", "r1", max_tokens=700)
             await eventually(lambda: first.positions("r1"))
@@ -452,30 +449,30 @@
             assert first.ends_by_id["r1"].kind == ""
             assert first.positions("r1") == list(range(700))
             await eventually(lambda: "r3" in second.ends_by_id)
-            assert not bed.engine.evictions_while_serving
+            assert not cluster.engine.evictions_while_serving
 
         with mock.patch.object(ownership, "REPORT_LAG_S", NO_WAIT_S):
-            run_story(story, fenced=False)
+            run_scenario(scenario, fenced=False)
 
-    def test_queue_goes_back_when_ownership_moves(self) -> None:
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
-            bed.engine.settings.load_s = 5.0
+    def test_queued_requests_are_refused_when_ownership_is_lost(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
+            cluster.engine.settings.load_s = 5.0
             await node.submit("i1", "r1")
-            bed.show(node, "other")
+            cluster.publish_view(node, "other")
             await eventually(lambda: "r1" in node.ends_by_id)
             end = node.ends_by_id["r1"]
             assert (end.kind, end.ran) == ("not_owner", "no")
             await eventually(lambda: node.endpoint is None)
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_leaving_endpoint_finishes_and_gets_no_more(self) -> None:
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
+    def test_leaving_endpoint_finishes_but_gets_no_new_work(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
             await node.submit("i1", "r1", max_tokens=200)
             await eventually(lambda: node.positions("r1"))
-            bed.show(node, "i1", endpoint=False)
+            cluster.publish_view(node, "i1", endpoint=False)
             await eventually(lambda: node.state == "absent")
             refused = await node.submit("i1", "r2")
             assert refused.kind == "not_owner"
@@ -483,12 +480,12 @@
             assert node.positions("r1") == list(range(200))
             await eventually(lambda: node.endpoint is None)
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_queue_of_a_lost_entry_is_dropped(self) -> None:
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
-            bed.engine.settings.load_s = 5.0
+    def test_queued_requests_of_a_lost_entry_are_refused(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
+            cluster.engine.settings.load_s = 5.0
             await node.submit("i1", "r1")
             node.instance.bus.publish(PeerLost("i1", reachable=True))
             await asyncio.sleep(0.05)
@@ -497,17 +494,17 @@
             await eventually(lambda: "r1" in node.ends_by_id)
             assert node.ends_by_id["r1"].ran == "no"
 
-        run_story(story)
+        run_scenario(scenario)
 
 
 class TestSnapshot:
-    def test_operators_see_what_is_owned(self) -> None:
-        async def story(bed: Bed) -> None:
-            node = await start_owned(bed)
+    def test_snapshot_shows_the_owned_endpoint(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
+            node = await start_owned(cluster)
             await node.submit("i1", "r1")
             await eventually(lambda: "r1" in node.ends_by_id)
             shown = node.endpoint.describe()
             assert (shown.state, shown.loaded) == ("owned", (CUPS,))
             assert replace(shown, fence=0).running == 0
 
-        run_story(story)
+        run_scenario(scenario)
--- a/tests/components/owner/test_leaving.py
+++ b/tests/components/owner/test_leaving.py
@@ -1,25 +1,23 @@
-"""Tests of work for endpoints that leave."""
+"""Tests that endpoints that are leaving get no new work."""
 
 from fescuekeel.helpers.driver import Report
 from tests.common import eventually
-from tests.components.owner.common import Bed, run_story
+from tests.components.owner.common import Cluster, run_scenario
 
 
-class TestSilentEndpoint:
-    def test_endpoint_whose_reports_are_stuck_gets_no_work(self) -> None:
-        """An endpoint that leaves is given requests after its bound.
+class TestLeavingEndpoint:
+    def test_endpoint_without_recent_reports_gets_no_work(self) -> None:
+        """Reports that say that the endpoint is leaving may be delayed.
 
-        It says in its reports that it is leaving, but these are stuck on
-        their way. Its owner goes on handing work over until it notices the
-        silence, which it did only at the next missing report.
+        Guards against dispatching to it until the next report is missed.
         """
 
         async def report_nothing(timeout_s: float) -> Report | None:
             return None
 
-        async def story(bed: Bed) -> None:
-            node = await bed.add("i1")
-            bed.show(node, "i1")
+        async def scenario(cluster: Cluster) -> None:
+            node = await cluster.add("i1")
+            cluster.publish_view(node, "i1")
             await eventually(lambda: node.state == "owned")
             owner = node.endpoint
             assert owner is not None
@@ -28,22 +26,20 @@
             await eventually(lambda: not owner.may_order())
             assert node.state == "owned"
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_endpoint_that_says_that_it_leaves_gets_no_work(self) -> None:
-        """An endpoint is given a request 3.5 s after it began to leave.
+    def test_endpoint_that_reports_that_it_is_leaving_gets_no_work(self) -> None:
+        """After a pause, a report may be newer than the owner's view.
 
-        Its owner was paused meanwhile. It wakes up, asks for a report, owns
-        the endpoint again and hands over what it had queued, although the
-        report says that the endpoint leaves: only the view was looked at.
+        Guards against dispatching queued requests by the view alone.
         """
 
         async def report_leaving(timeout_s: float) -> Report | None:
             return Report("1", 0, 1, frozenset(), (), leaving=True)
 
-        async def story(bed: Bed) -> None:
-            node = await bed.add("i1")
-            bed.show(node, "i1")
+        async def scenario(cluster: Cluster) -> None:
+            node = await cluster.add("i1")
+            cluster.publish_view(node, "i1")
             await eventually(lambda: node.state == "owned")
             owner = node.endpoint
             assert owner is not None
@@ -52,4 +48,4 @@
             await eventually(lambda: not owner.may_order())
             assert node.state == "owned"
 
-        run_story(story)
+        run_scenario(scenario)
--- a/tests/components/owner/test_orders.py
+++ b/tests/components/owner/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders to an endpoint."""
+"""Tests of load and eviction orders to an endpoint."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 from fescuekeel.components.owner import model
 from fescuekeel.components.owner.orders import Orders
-from fescuekeel.components.owner.ownership import Ownership, OwnState
+from fescuekeel.components.owner.ownership import Ownership, OwnershipState
 from fescuekeel.core import Instance
 from fescuekeel.helpers.driver import Guard, OrderOutcome, Report, RunningCall
 from fescuekeel.messages import AdapterRef
@@ -17,7 +17,7 @@
 
 @dataclass
 class FakeDriver:
-    """An endpoint that obeys if the guard lets the order through."""
+    """An endpoint that executes an order if its guard allows it."""
 
     report_given: Report | None
     evicted: list[AdapterRef] = field(default_factory=list)
@@ -46,11 +46,11 @@
     serving: bool = False,
     settled: bool = True,
 ) -> list[AdapterRef]:
-    """Order an eviction where only request ``mine`` is known to have ended."""
+    """Order an eviction; only request ``mine`` is known to have ended."""
 
     async def main() -> None:
-        ownership = Ownership("i1", OwnState.OWNED)
-        ownership._renewed = instance.now()
+        ownership = Ownership("i1", OwnershipState.OWNED)
+        ownership._renewed_at = instance.now()
         ownership._evict_after = 0.0 if settled else instance.now() + 60.0
         done = asyncio.Event()
         posted: list[object] = []
@@ -84,18 +84,18 @@
     def test_idle_adapter_is_evicted(self, instance: Instance) -> None:
         assert evict(instance, make_report()) == [CUPS]
 
-    def test_lagging_report_of_ended_work_is_no_hindrance(
+    def test_lagging_report_of_ended_work_does_not_block(
         self, instance: Instance
     ) -> None:
         assert evict(instance, make_report("mine")) == [CUPS]
 
-    def test_work_of_another_owner_is_seen_at_the_last_moment(
+    def test_adapter_that_serves_another_owner_is_not_evicted(
         self, instance: Instance
     ) -> None:
-        """Two views differ, and the engine ignores fencing numbers.
+        """Two instances own an endpoint that ignores fencing tokens.
 
-        Another owner has just handed a script over, of which no message
-        tells. Its adapter looks idle here and would be evicted under it.
+        Guards against evicting an adapter that serves the other owner's
+        request, which only the latest report shows.
         """
         assert evict(instance, make_report("mine", "theirs")) == []
 
@@ -107,7 +107,7 @@
             {"report": make_report(), "settled": False},
         ],
     )
-    def test_doubt_holds_the_order_back(
+    def test_uncertain_state_blocks_the_eviction(
         self, instance: Instance, changes: dict[str, object]
     ) -> None:
         assert evict(instance, **changes) == []  # type: ignore[arg-type]
--- a/tests/fuzz/world.py
+++ b/tests/fuzz/world.py
@@ -13,7 +13,7 @@
 import fescuekeel.components.turns
 from fescuekeel.components.gateway.admission import Admission, CallerInput
 from fescuekeel.components.gateway.component import Gateway
-from fescuekeel.components.owner.ownership import OwnState
+from fescuekeel.components.owner.ownership import OwnershipState
 from fescuekeel.components.tree.model import Policy, Pool, PoolKind, TreeInForce
 from fescuekeel.core import REGISTRY, Instance
 from fescuekeel.errors import ErrorKind, Failure
@@ -372,7 +372,7 @@
         for node in self.live_nodes:
             owners = node.instance.components_by_domain["owner"].owners_by_endpoint
             owner = owners.get(engine.id)
-            if owner is not None and owner.ownership.state is OwnState.OWNED:
+            if owner is not None and owner.ownership.state is OwnershipState.OWNED:
                 found.append(node)
         return found
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -39,18 +39,23 @@
         "test_the_rate_holds_over_time_and_the_hint_is_right"
     ),
     ErrorKind.QUEUE_FULL: f"{SCHEDULING}::TestRefusals::test_full_queue",
-    ErrorKind.TOO_LATE: f"{SCHEDULING}::TestRefusals::test_too_late_is_told_at_once",
+    ErrorKind.TOO_LATE: (
+        f"{SCHEDULING}::TestRefusals::test_late_request_is_refused_on_arrival"
+    ),
     ErrorKind.EXPIRED: (
-        f"{SCHEDULING}::TestRefusals::test_expired_when_the_owner_was_not_awake"
+        f"{SCHEDULING}::TestRefusals::test_request_expires_while_the_owner_is_paused"
     ),
     ErrorKind.NO_ENDPOINT: f"{GATEWAY}::test_a_pool_without_endpoints_refuses_at_once",
-    ErrorKind.NOT_OWNER: f"{OWNER}::TestPath::test_instance_that_is_not_named_refuses",
+    ErrorKind.NOT_OWNER: (
+        f"{OWNER}::TestSubmit::test_instance_that_is_not_the_owner_refuses"
+    ),
     ErrorKind.MOVED: (
         "components/owner/test_arrivals.py::TestMoves::"
-        "test_a_request_goes_where_the_copy_is"
+        "test_request_is_redirected_to_the_endpoint_with_the_adapter"
     ),
     ErrorKind.LOAD_FAILED: (
-        f"{SCHEDULING}::TestLoads::test_failed_loads_refuse_after_bounded_tries"
+        f"{SCHEDULING}::TestLoads::"
+        "test_requests_are_refused_after_the_last_load_attempt"
     ),
     ErrorKind.ENDPOINT_REFUSED: (
         "components/plain/test_driver.py::TestDispatch::"
@@ -90,7 +95,9 @@
     ErrorKind.INVALID_SETTINGS: (
         "helpers/test_settings.py::TestSettings::test_what_is_wrong_is_named"
     ),
-    ErrorKind.INTERNAL: f"{OWNER}::TestEngineFailures::test_fault_of_ours_is_answered",
+    ErrorKind.INTERNAL: (
+        f"{OWNER}::TestEngineFailures::test_internal_error_is_reported_to_the_entry"
+    ),
 }
 
 
