--- a/fescuekeel/components/owner/endpoint.py
+++ b/fescuekeel/components/owner/endpoint.py
@@ -233,8 +233,8 @@
 
         Prevents new work for an endpoint that is leaving while its reports,
         which say so, are delayed. The age of a report counts from when it was
-        asked for, the latest time that it can describe. After a pause, a
-        report may show that the endpoint is leaving before the view does.
+        asked for, as it may show no later state. After a pause, a report may
+        show that the endpoint is leaving before the view does.
         """
         if self._is_leaving:
             return False
@@ -260,7 +260,7 @@
     def _handle_order_outcome(self, outcome: OrderOutcome) -> None:
         self._check_fence(outcome.stale_fence)
         if outcome.ok:
-            self._handle_ownership(own.OrderAccepted(outcome.fence))
+            self._handle_ownership(own.OrderExecuted(outcome.fence))
 
     def _end_evict(self, adapter: AdapterRef, outcome: OrderOutcome) -> None:
         self._handle_order_outcome(outcome)
--- a/fescuekeel/components/owner/model.py
+++ b/fescuekeel/components/owner/model.py
@@ -159,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadTurnGranted:
-    """A load turn was granted."""
+    """The requested load turn was granted."""
 
     adapter: AdapterRef
 
--- a/fescuekeel/components/owner/ownership.py
+++ b/fescuekeel/components/owner/ownership.py
@@ -28,7 +28,7 @@
     "Lost",
     "NotChosen",
     "OfferHandover",
-    "OrderAccepted",
+    "OrderExecuted",
     "OrderUnconfirmed",
     "Ownership",
     "OwnershipEffect",
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrderAccepted:
+class OrderExecuted:
     """The endpoint executed an order with this fencing token."""
 
     fence: int
@@ -132,7 +132,7 @@
     | HandoverOffered
     | PeerReplied
     | ReportReceived
-    | OrderAccepted
+    | OrderExecuted
     | StaleFence
     | OrderUnconfirmed
     | Elapsed
@@ -258,7 +258,7 @@
                 self._reported |= asked_at >= self._acquiring_since
                 if fence == self.fence:
                     self._note_fence_seen(now)
-            case OrderAccepted(fence):
+            case OrderExecuted(fence):
                 if fence == self.fence:
                     self._note_fence_seen(now)
             case StaleFence(fence):
--- a/tests/components/owner/test_ownership.py
+++ b/tests/components/owner/test_ownership.py
@@ -140,7 +140,7 @@
         ownership.handle(own.ChosenAsOwner(NOBODY, True), 0.2, 0)
         ownership._renewed_at = math.inf
         assert not ownership.may_evict(1000.0)
-        ownership.handle(own.OrderAccepted(gained.fence), 1000.0, 0)
+        ownership.handle(own.OrderExecuted(gained.fence), 1000.0, 0)
         assert not ownership.may_evict(1000.0)
         assert ownership.may_evict(1000.0 + REPORT_LAG_S)
 
