--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -582,7 +582,7 @@
                 route = replace(route, timeout_s=0.1)
                 await world.instances[0].stop()
                 now = world.instances[0].now()
-                assert not forward._shutdown.may_begin(route, now)
+                assert not forward._shutdown.may_accept(route, now)
 
         run(work)
 
