--- a/bench/capacity/decisions.py
+++ b/bench/capacity/decisions.py
@@ -16,7 +16,7 @@
 )
 from bench.capacity.fleet import make_live, make_live_body, make_view
 from bench.capacity.timing import Line, fit, time_call
-from fescuekeel.components.gateway.ranks import Ranks
+from fescuekeel.components.gateway.ranks import RankingCache
 from fescuekeel.components.gateway.routing import Hints, choose
 from fescuekeel.components.keys.ledger import Ledger
 from fescuekeel.components.livelist.parse import parse_live_list
@@ -159,7 +159,7 @@
     Few adapters are remembered from one request to the next.
     """
     view = make_view(make_live(NODES))
-    hints, ranks, numbers = Hints(), Ranks(), count()
+    hints, rankings, numbers = Hints(), RankingCache(), count()
 
     def route() -> None:
         choose(
@@ -170,7 +170,7 @@
             view.members_by_id,
             hints,
             1.0,
-            rank=ranks.get,
+            rank=rankings.get,
         )
 
     return time_call(route, 200)
--- a/bench/policy/simulation.py
+++ b/bench/policy/simulation.py
@@ -277,7 +277,7 @@
         stall_s = self._get_stall_s(host, request)
         hints = self._hints_by_dc[request.data_centre]
         wait_s = max(0.0, effect.queue_s - effect.stall_s)
-        hints.note_ended(host.entry.id, request.adapter, wait_s, now)
+        hints.note_answer(host.entry.id, request.adapter, wait_s, now)
         end = host.engine.start(request.id, request.adapter, request.tokens)
         finish = partial(self._finish, host, request, host.engine.boot, stall_s)
         self._clock.call_at(end, finish)
--- a/fescuekeel/components/gateway/__init__.py
+++ b/fescuekeel/components/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway component."""
+"""Gateway component: the HTTP interface for callers."""
 
 from fescuekeel.components.gateway.const import DOMAIN
 from fescuekeel.core import REGISTRY, Component, Instance
@@ -7,7 +7,10 @@
 
 
 def setup(instance: Instance) -> Component:
-    """Make the component; the pure modules are importable without it."""
+    """Set up the component.
+
+    The import is local so that the pure modules load without the server.
+    """
     from fescuekeel.components.gateway.component import Gateway
 
     return Gateway(instance)
--- a/fescuekeel/components/gateway/admission.py
+++ b/fescuekeel/components/gateway/admission.py
@@ -1,4 +1,4 @@
-"""What a request needs before it is routed: shop, policy and limits."""
+"""Admission of requests: authentication, validation and policy lookup."""
 
 from dataclasses import dataclass
 
@@ -21,14 +21,14 @@
     "CallerInput",
     "admit_completion",
     "admit_plain",
+    "authenticate_shop",
     "get_intent",
-    "get_shop",
 ]
 
 
 @dataclass(frozen=True, slots=True)
 class CallerInput:
-    """What a caller sent, as far as the system reads it."""
+    """The parts of a caller's HTTP request that the gateway uses."""
 
     authorization: str
     method: str
@@ -40,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """A request that is known to be well-formed and allowed.
+    """A validated and authorised request.
 
-    ``digest`` tells whether two requests with one idempotency key mean the
-    same.
+    ``digest`` identifies the content, to detect reuse of an idempotency key
+    for another request.
     """
 
     policy: Policy
@@ -61,11 +61,16 @@
     return Success(in_force.intent)
 
 
-def get_shop(intent: Intent, authorization: str) -> Result[str, Failure]:
-    """Return the shop that a bearer token belongs to."""
+def authenticate_shop(intent: Intent, authorization: str) -> Result[str, Failure]:
+    """Return the shop that the bearer token belongs to."""
     token = read_bearer(authorization)
     if not token:
-        return Err(Failure(ErrorKind.UNAUTHENTICATED, "a bearer token is needed"))
+        return Err(
+            Failure(
+                ErrorKind.UNAUTHENTICATED,
+                "missing bearer token",
+            )
+        )
     shop = intent.authenticate(token)
     if shop is None:
         return Err(Failure(ErrorKind.UNAUTHENTICATED))
@@ -75,7 +80,7 @@
 def _check_size(caller: CallerInput) -> Result[str, Failure]:
     if len(caller.body) <= MAX_BODY_BYTES:
         return check_idempotency_key(caller.idempotency_key)
-    detail = f"a body has {MAX_BODY_BYTES} bytes at most"
+    detail = f"request body exceeds the limit of {MAX_BODY_BYTES} bytes"
     return Err(Failure(ErrorKind.BODY_TOO_LARGE, detail))
 
 
@@ -90,13 +95,13 @@
 def _check_kind(policy: Policy, kind: PoolKind) -> Result[Policy, Failure]:
     if policy.pool.kind is kind:
         return Success(policy)
-    detail = f"service {policy.service} is served at another path"
+    detail = f"service {policy.service} is not available at this path"
     return Err(Failure(ErrorKind.UNKNOWN_SERVICE, detail))
 
 
 def admit_completion(intent: Intent, caller: CallerInput) -> Result[Admission, Failure]:
-    """Admit a request for a completion by an adapter."""
-    return get_shop(intent, caller.authorization).bind(
+    """Validate and authorise a completion request."""
+    return authenticate_shop(intent, caller.authorization).bind(
         lambda shop: _check_size(caller).bind(
             lambda _: _admit_body(intent, shop, caller)
         )
@@ -113,7 +118,7 @@
 
     def build(policy: Policy) -> Result[Admission, Failure]:
         if policy.max_tokens and body.max_tokens > policy.max_tokens:
-            detail = f"max_tokens is {policy.max_tokens} at most"
+            detail = f"max_tokens exceeds the limit of {policy.max_tokens}"
             return Err(Failure(ErrorKind.BAD_REQUEST, detail))
         digest = _make_digest(policy, caller)
         return Success(Admission(policy, caller, body.stream, body.max_tokens, digest))
@@ -130,13 +135,13 @@
 def admit_plain(
     intent: Intent, service: str, caller: CallerInput
 ) -> Result[Admission, Failure]:
-    """Admit a request to a plain service."""
+    """Validate and authorise a request to a plain service."""
 
     def build(policy: Policy) -> Result[Admission, Failure]:
         digest = _make_digest(policy, caller)
         return Success(Admission(policy, caller, False, 0, digest))
 
-    return get_shop(intent, caller.authorization).bind(
+    return authenticate_shop(intent, caller.authorization).bind(
         lambda shop: _check_size(caller).bind(
             lambda _: (
                 intent.resolve(shop, service, "", "")
--- a/fescuekeel/components/gateway/border.py
+++ b/fescuekeel/components/gateway/border.py
@@ -1,4 +1,4 @@
-"""Validated models of what callers send and get."""
+"""Schemas and validation of the callers' requests and error responses."""
 
 import re
 
@@ -6,7 +6,10 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 from returns.result import Failure as Err, Result, Success
 
-from fescuekeel.components.gateway.const import MAX_KEY_CHARS, MAX_REQUEST_ID_CHARS
+from fescuekeel.components.gateway.const import (
+    MAX_IDEMPOTENCY_KEY_CHARS,
+    MAX_REQUEST_ID_CHARS,
+)
 from fescuekeel.errors import ErrorKind, Failure
 
 __all__ = [
@@ -39,7 +42,7 @@
 
 
 class CompletionBody(BaseModel):
-    """What the system itself reads in a completion request."""
+    """The fields of a completion request that the gateway reads."""
 
     model_config = ConfigDict(extra="allow", frozen=True, strict=True)
 
@@ -50,7 +53,7 @@
 
 
 class ErrorDetail(BaseModel):
-    """Why there is no answer, whether the request ran, when to come back."""
+    """Reason of a failure, whether the request ran, and when to retry."""
 
     kind: str
     ran: str
@@ -59,13 +62,13 @@
 
 
 class ErrorBody(BaseModel):
-    """The body of every refusal."""
+    """Body of an error response."""
 
     error: ErrorDetail
 
 
 def parse_model(text: str) -> Result[ModelName, Failure]:
-    """Split a model name; a version stays the text that it is.
+    """Split a model name; the version is an opaque string.
 
     >>> parse_model("patter/linking-rings@1.10").unwrap().version
     '1.10'
@@ -74,7 +77,7 @@
     """
     match = MODEL_PATTERN.match(text)
     if match is None:
-        detail = "model is not SERVICE/ADAPTER or SERVICE/ADAPTER@VERSION"
+        detail = "model must be SERVICE/ADAPTER or SERVICE/ADAPTER@VERSION"
         return Err(Failure(ErrorKind.BAD_REQUEST, detail))
     return Success(ModelName(**match.groupdict(default="")))
 
@@ -88,7 +91,7 @@
     try:
         return Success(CompletionBody.model_validate(orjson.loads(body)))
     except orjson.JSONDecodeError as error:
-        return Err(Failure(ErrorKind.BAD_REQUEST, f"not JSON: {error}"))
+        return Err(Failure(ErrorKind.BAD_REQUEST, f"invalid JSON: {error}"))
     except ValidationError as error:
         details = [
             f"{'.'.join(map(str, item['loc']))}: {item['msg']}"
@@ -98,15 +101,18 @@
 
 
 def check_idempotency_key(key: str) -> Result[str, Failure]:
-    """Refuse a key that is too long or not printable."""
-    if len(key) <= MAX_KEY_CHARS and key.isprintable():
+    """Reject an idempotency key that is too long or not printable."""
+    if len(key) <= MAX_IDEMPOTENCY_KEY_CHARS and key.isprintable():
         return Success(key)
-    detail = f"the idempotency key has {MAX_KEY_CHARS} printable characters at most"
+    detail = (
+        "idempotency key must be printable and at most "
+        f"{MAX_IDEMPOTENCY_KEY_CHARS} characters long"
+    )
     return Err(Failure(ErrorKind.BAD_REQUEST, detail))
 
 
 def clean_request_id(text: str) -> str:
-    """Make a caller's request id safe for logs and headers.
+    """Sanitize a caller's request id for logs and headers.
 
     >>> clean_request_id("order 7")
     'order_7'
@@ -115,7 +121,7 @@
 
 
 def to_error_body(failure: Failure) -> bytes:
-    """Return the JSON body that tells a caller of a failure."""
+    """Return the JSON body of the error response for a failure."""
     detail = ErrorDetail(
         kind=failure.kind.value,
         ran=failure.outcome.value,
--- a/fescuekeel/components/gateway/component.py
+++ b/fescuekeel/components/gateway/component.py
@@ -1,13 +1,13 @@
-"""The gateway: it owns the requests that callers have open here."""
+"""The gateway, which owns the open requests of callers at this instance."""
 
 import asyncio
 
 from returns.result import Success
 
 from fescuekeel.components.gateway.admission import Admission
-from fescuekeel.components.gateway.attempts import RequestLife
-from fescuekeel.components.gateway.const import DRAIN_POLL_S, KEY_LIFETIME_S
-from fescuekeel.components.gateway.life import CallerGone, ShutdownEnded
+from fescuekeel.components.gateway.attempts import RequestStateMachine
+from fescuekeel.components.gateway.const import DRAIN_POLL_S, IDEMPOTENCY_KEY_TTL_S
+from fescuekeel.components.gateway.life import CallerDisconnected, ShutdownTimedOut
 from fescuekeel.components.gateway.limits import Limits
 from fescuekeel.components.gateway.request import CallerRequest
 from fescuekeel.components.gateway.router import GatewayRouter
@@ -36,7 +36,7 @@
 
 
 class Gateway:
-    """Serve callers: admit, claim, route and relay."""
+    """Serve callers: check limits, claim idempotency keys, route requests."""
 
     def __init__(self, instance: Instance) -> None:
         self.instance = instance
@@ -48,36 +48,35 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether new requests are welcome."""
+        """Return whether the instance accepts new requests."""
         known = self.instance.bus.latest(TreeInForce) is not None
         return known and not self.instance.draining
 
     async def start(self) -> None:
-        """Listen for callers and for the owners' messages."""
+        """Listen for callers and subscribe to the owners' messages."""
         bus = self.instance.bus
         for kind in (StartAsk, WorkStarted, WorkChunk, WorkEnd):
             bus.subscribe_peer(kind, self._post_message)
-        bus.subscribe(PeerLost, lambda lost: self._lose_owner(lost.instance_id))
-        bus.subscribe(MemberView, self._note_members)
+        bus.subscribe(PeerLost, lambda lost: self._handle_owner_loss(lost.instance_id))
+        bus.subscribe(MemberView, self._update_members)
         bus.publish_state(EntryOpenWork(self._list_open_work))
         self.server.start()
         log_event("callers_listening", address=self.server.address)
 
     async def stop(self) -> None:
-        """Refuse new requests, let those in progress end, then close.
+        """Reject new requests, wait for those in progress, then close.
 
-        Guards against connections that are reset without an answer: closing
-        the listening socket resets those that nobody has accepted yet, with
-        their requests sent. So it stays open until nothing is in progress,
-        and whoever still comes is told that the instance is draining.
+        The listening socket stays open meanwhile, and new requests are told
+        that the instance is draining. Closing it would reset connections in
+        the accept backlog without a response.
         """
-        left_s = self.instance.settings.instance.shutdown_s
+        remaining_s = self.instance.settings.instance.shutdown_s
         await asyncio.sleep(DRAIN_POLL_S)
-        while self.requests_by_id and left_s > 0:
+        while self.requests_by_id and remaining_s > 0:
             await asyncio.sleep(DRAIN_POLL_S)
-            left_s -= DRAIN_POLL_S
+            remaining_s -= DRAIN_POLL_S
         for request in self.requests_by_id.values():
-            request.post(ShutdownEnded())
+            request.post(ShutdownTimedOut())
         self.server.stop_listening()
         await asyncio.sleep(DRAIN_POLL_S)
         await self.server.close()
@@ -85,7 +84,7 @@
     async def serve(
         self, request_id: str, admission: Admission, sink: CallerSink
     ) -> None:
-        """Serve one admitted request to its end."""
+        """Serve one admitted request to completion."""
         policy = admission.policy
         if self.instance.draining:
             failure = Failure(ErrorKind.DRAINING, retry_after_s=1.0)
@@ -103,11 +102,11 @@
     async def _serve_within_limits(
         self, request_id: str, admission: Admission, sink: CallerSink
     ) -> None:
-        arrived = self.instance.now()
-        life = RequestLife(
+        arrived_at = self.instance.now()
+        state_machine = RequestStateMachine(
             repeatable=admission.policy.repeatable,
             stream=admission.stream,
-            deadline=arrived + admission.policy.answer_s,
+            deadline=arrived_at + admission.policy.answer_s,
         )
         request = CallerRequest(
             self.instance,
@@ -116,8 +115,8 @@
             request_id,
             admission,
             sink,
-            life,
-            arrived,
+            state_machine,
+            arrived_at,
         )
         self.requests_by_id[request_id] = request
         try:
@@ -133,7 +132,7 @@
         scoped = f"{request.admission.policy.shop}/{key}"
         keys = get_key_link(self.instance)
         claim = await keys.claim(
-            scoped, request.request_id, request.admission.digest, KEY_LIFETIME_S
+            scoped, request.request_id, request.admission.digest, IDEMPOTENCY_KEY_TTL_S
         )
         if not isinstance(claim, Success):
             await self.refuse(request.request_id, claim.failure(), request.sink)
@@ -147,7 +146,7 @@
             keys.settle(scoped, request.request_id, ran)
 
     async def refuse(self, request_id: str, failure: Failure, sink: CallerSink) -> None:
-        """Refuse a request that was never routed."""
+        """Reject a request that was never routed."""
         self.instance.metrics.count(f"refused.{failure.kind}")
         log_event(
             "request_refused",
@@ -161,7 +160,7 @@
 
     def _report(self, request: CallerRequest, failure: Failure | None) -> None:
         metrics = self.instance.metrics
-        took_s = self.instance.now() - request.arrived
+        took_s = self.instance.now() - request.arrived_at
         metrics.observe("request", took_s)
         metrics.observe("stall", request.head.stall_ms / 1000)
         if failure is None:
@@ -176,7 +175,7 @@
             service=policy.service,
             adapter=policy.adapter,
             endpoint=request.placement.endpoint if request.placement else "",
-            attempts=request.life.attempt,
+            attempts=request.state_machine.attempt,
             kind=failure.kind.value if failure else "answered",
             ran=failure.outcome.value if failure else Ran.YES.value,
             stall_ms=request.head.stall_ms,
@@ -185,46 +184,48 @@
         )
 
     def lose_caller(self, request_id: str) -> None:
-        """Stop a request whose caller closed its connection."""
+        """Cancel a request whose caller closed the connection."""
         request = self.requests_by_id.get(request_id)
         if request is not None:
-            request.post(CallerGone())
+            request.post(CallerDisconnected())
 
     def _post_message(self, message: PeerMessage) -> None:
         request = self.requests_by_id.get(message.body.request_id)  # type: ignore[union-attr]
         if request is not None:
             request.post_message(message)
             return
-        # The request has ended here, so an owner that asks late, such as one
-        # that was paused, must not hand it over any more.
+        # The request has ended here. An owner that requests permission late,
+        # such as after a pause, must not hand it over any more.
         if isinstance(message.body, StartAsk):
             get_peer_link(self.instance).answer(message, StartAnswer(False))
         if not isinstance(message.body, WorkEnd):
             self.instance.metrics.count("late_message")
 
-    def _lose_owner(self, owner: str) -> None:
+    def _handle_owner_loss(self, owner: str) -> None:
         for request in self.requests_by_id.values():
-            request.lose_owner(owner)
-
-    def _note_members(self, view: MemberView) -> None:
-        now = frozenset(view.members_by_id)
-        self.limits.instances = max(1, len(now))
-        # Guards against a graceful shutdown that cuts off what it finishes:
-        # an owner that has left still carries its work to the end, and should
-        # it die on the way, its connection tells.
-        for lost in self._members - now - view.left:
-            self._lose_owner(lost)
-        self._members = now
+            request.handle_owner_loss(owner)
+
+    def _update_members(self, view: MemberView) -> None:
+        members = frozenset(view.members_by_id)
+        self.limits.instances = max(1, len(members))
+        # An owner in graceful shutdown has left the view but completes its
+        # work. If it dies before that, ``PeerLost`` reports it.
+        for lost in self._members - members - view.left:
+            self._handle_owner_loss(lost)
+        self._members = members
 
     def _list_open_work(self, endpoint: str) -> tuple[RunningWork, ...]:
         return tuple(
             RunningWork(
                 request.request_id,
                 request.admission.policy.adapter,
-                max(0, int((request.life.deadline - self.instance.now()) * 1000)),
+                max(
+                    0,
+                    int((request.state_machine.deadline - self.instance.now()) * 1000),
+                ),
             )
             for request in self.requests_by_id.values()
             if request.placement is not None
             and request.placement.endpoint == endpoint
-            and request.life.may_have_run
+            and request.state_machine.may_have_run
         )
--- a/fescuekeel/components/gateway/const.py
+++ b/fescuekeel/components/gateway/const.py
@@ -12,16 +12,15 @@
 HEADER_QUEUE_MS: Final = "X-Queue-Ms"
 HEADER_STALL_MS: Final = "X-Stall-Ms"
 
-# A caller that sends its body, or reads its answer, slower than this is
-# given up. Tornado's own defaults are no limit and an hour.
+# Limits on slow callers; Tornado's defaults are unlimited or an hour.
 CALLER_BODY_TIMEOUT_S: Final = 15.0
 CALLER_WRITE_TIMEOUT_S: Final = 20.0
 CALLER_IDLE_TIMEOUT_S: Final = 75.0
 
 SUBMIT_TIMEOUT_S: Final = 1.0
-KEY_LIFETIME_S: Final = 600.0
-MAX_KEY_CHARS: Final = 128
+IDEMPOTENCY_KEY_TTL_S: Final = 600.0
+MAX_IDEMPOTENCY_KEY_CHARS: Final = 128
 MAX_REQUEST_ID_CHARS: Final = 64
-# Whole answers are held until their end is known, so their size is bounded.
+# Responses that are not streamed are buffered in memory until they end.
 MAX_ANSWER_BYTES: Final = 8 * 1024 * 1024
 DRAIN_POLL_S: Final = 0.05
--- a/fescuekeel/components/gateway/life.py
+++ b/fescuekeel/components/gateway/life.py
@@ -1,4 +1,4 @@
-"""Phases, events and effects in the life of one request."""
+"""Phases, events and effects of the request state machine."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,32 +7,32 @@
 
 __all__ = [
     "Accepted",
-    "AskRetry",
-    "Begin",
-    "CallerGone",
+    "Admitted",
+    "AnswerStart",
+    "CallerDisconnected",
     "CancelAttempt",
-    "ChunkCame",
+    "CheckBudget",
+    "ChunkReceived",
     "Deliver",
     "Ended",
     "Fail",
     "Finish",
-    "GrantStart",
-    "LifeEffect",
-    "LifeEvent",
     "OwnerLost",
     "Phase",
     "Refused",
+    "RequestEffect",
+    "RequestEvent",
     "RetryDecided",
     "SendAttempt",
-    "ShutdownEnded",
-    "StartAsked",
+    "ShutdownTimedOut",
+    "StartRequested",
     "Started",
-    "TimePassed",
+    "TimerFired",
 ]
 
 
 class Phase(StrEnum):
-    """Name where a request is."""
+    """Phase of a request."""
 
     RECEIVED = "received"
     SUBMITTED = "submitted"
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class Admitted:
     """The request was admitted."""
 
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The attempt certainly did not run and will not."""
+    """The attempt was rejected: it did not run and will not."""
 
     attempt: int
     failure: Failure
@@ -66,30 +66,30 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerLost:
-    """The owner of the attempt does not answer any more."""
+    """The owner of the attempt has become unreachable."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class StartAsked:
-    """An owner asks for leave to hand the request over."""
+class StartRequested:
+    """An owner requests permission to hand over the request."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """An owner has handed a repeatable request over."""
+    """An owner has handed over a repeatable request."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class ChunkCame:
-    """A piece of the answer came; ``tokens`` is how many it holds.
+class ChunkReceived:
+    """A response chunk of ``tokens`` tokens arrived.
 
-    A piece of no tokens is the end mark of a stream.
+    A chunk of zero tokens is the end mark of a stream.
     """
 
     attempt: int
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The attempt ended; ``failure`` is ``None`` for a whole answer."""
+    """The attempt ended; ``failure`` is ``None`` for success."""
 
     attempt: int
     failure: Failure | None = None
@@ -108,39 +108,39 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryDecided:
-    """The retry budget's answer to ``AskRetry``."""
+    """Result of ``CheckBudget``."""
 
     allowed: bool
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller closed its connection."""
 
 
 @dataclass(frozen=True, slots=True)
-class ShutdownEnded:
-    """The instance ends, and with it the connection to the caller."""
+class ShutdownTimedOut:
+    """The time for a graceful shutdown is over."""
 
 
 @dataclass(frozen=True, slots=True)
-class TimePassed:
-    """Look at the clock."""
+class TimerFired:
+    """A timer fired; check the deadlines."""
 
 
-LifeEvent = (
-    Begin
+RequestEvent = (
+    Admitted
     | Accepted
     | Refused
     | OwnerLost
-    | StartAsked
+    | StartRequested
     | Started
-    | ChunkCame
+    | ChunkReceived
     | Ended
     | RetryDecided
-    | CallerGone
-    | ShutdownEnded
-    | TimePassed
+    | CallerDisconnected
+    | ShutdownTimedOut
+    | TimerFired
 )
 
 
@@ -149,10 +149,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Route and submit; ``resume`` asks for the rest of a running stream.
+    """Route and submit an attempt after a back-off.
 
-    ``delay_s`` is the longest back-off; the caller of the decision draws the
-    actual one between zero and it.
+    ``resume`` requests a running stream from ``position`` on. ``delay_s`` is
+    the maximum back-off, to which the caller of ``handle`` applies jitter.
     """
 
     attempt: int
@@ -162,46 +162,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GrantStart:
-    """Answer an owner that asked for leave."""
+class AnswerStart:
+    """Grant or deny an owner the permission to hand over the request."""
 
     attempt: int
     granted: bool
 
 
 @dataclass(frozen=True, slots=True)
-class AskRetry:
-    """Ask the service's retry budget; ``RetryDecided`` follows at once."""
+class CheckBudget:
+    """Check the retry budget; ``RetryDecided`` must follow immediately."""
 
     reason: RetryReason
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Tell the owner to stop the attempt."""
+    """Cancel the attempt at its owner."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Pass a piece of the answer to the caller."""
+    """Deliver a response chunk to the caller."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """The answer is whole."""
+    """Complete a successful response."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Tell the caller what became of the request."""
+    """Report the failure to the caller."""
 
     failure: Failure
 
 
-LifeEffect = (
-    SendAttempt | GrantStart | AskRetry | CancelAttempt | Deliver | Finish | Fail
+RequestEffect = (
+    SendAttempt | AnswerStart | CheckBudget | CancelAttempt | Deliver | Finish | Fail
 )
--- a/fescuekeel/components/gateway/limits.py
+++ b/fescuekeel/components/gateway/limits.py
@@ -1,8 +1,8 @@
-"""Limits on what a shop may ask for, and budgets of retries; pure decisions.
+"""Rate limits, concurrency limits and retry budgets, without I/O.
 
-An entry instance counts only its own callers, so that a limit costs no
-message. The balancer spreads callers evenly over the instances, and each one
-enforces its share of a limit.
+Each entry instance counts only its own requests and enforces an equal share
+of every limit, which avoids coordination. This relies on the load balancer
+spreading callers evenly over the instances.
 """
 
 import math
@@ -14,44 +14,44 @@
 __all__ = ["Limits"]
 
 BURST_S = 1.0
-IN_FLIGHT_RETRY_S = 0.5
+IN_FLIGHT_RETRY_AFTER_S = 0.5
 RETRY_WINDOW_S = 10.0
-# A service with little traffic may still retry this often in a window.
-RETRY_FLOOR = 3.0
+# Retries allowed per window even to a service with little traffic.
+MIN_RETRIES = 3.0
 MAX_SCOPES = 10_000
-IDLE_S = 60.0
+SCOPE_IDLE_S = 60.0
 
 
 @dataclass(slots=True)
-class ScopeState:
-    """What is used of one level's limit; ``tokens`` is none when full."""
+class ScopeUsage:
+    """Usage of one limit; ``tokens`` is ``None`` for a full token bucket."""
 
     tokens: float | None = None
-    seen: float = 0.0
+    updated_at: float = 0.0
     in_flight: int = 0
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Requests and retries of one service, both fading over the window."""
+    """Exponentially decaying counts of a service's requests and retries."""
 
     requests: float = 0.0
     retries: float = 0.0
-    seen: float = 0.0
+    updated_at: float = 0.0
 
-    def fade(self, now: float) -> None:
-        """Let what is long past count less."""
-        share = math.exp(-max(0.0, now - self.seen) / RETRY_WINDOW_S)
+    def decay(self, now: float) -> None:
+        """Decay both counts by the time since the last update."""
+        share = math.exp(-max(0.0, now - self.updated_at) / RETRY_WINDOW_S)
         self.requests *= share
         self.retries *= share
-        self.seen = now
+        self.updated_at = now
 
 
 @dataclass(slots=True)
 class Limits:
     """Decide on admission and retries; times are monotonic seconds.
 
-    ``instances`` is how many entry instances share each limit.
+    ``instances`` is the number of entry instances that share each limit.
 
     >>> from fescuekeel.components.tree.model import Pool, PoolKind
     >>> from fescuekeel.messages import AdapterRef
@@ -68,20 +68,21 @@
     """
 
     instances: int = 1
-    _states_by_scope: dict[str, ScopeState] = field(default_factory=dict)
+    _usage_by_scope: dict[str, ScopeUsage] = field(default_factory=dict)
     _budgets_by_service: dict[str, RetryBudget] = field(default_factory=dict)
 
     def admit(self, policy: Policy, now: float) -> Failure | None:
-        """Count a request in, or refuse it and count nothing.
+        """Count a request as in flight, or reject it and count nothing.
 
-        Each request that is admitted is released once, with the same policy.
+        The caller must call ``release`` once for each admitted request, with
+        the same policy.
         """
         for limit in policy.limits:
             failure = self._check(limit, now)
             if failure is not None:
                 return failure
         for limit in policy.limits:
-            state = self._states_by_scope[limit.scope]
+            state = self._usage_by_scope[limit.scope]
             state.in_flight += 1
             if state.tokens is not None:
                 state.tokens -= 1
@@ -90,47 +91,46 @@
         return None
 
     def release(self, policy: Policy) -> None:
-        """Count a request out, however it ended."""
+        """Count a request as ended, whatever the outcome."""
         for limit in policy.limits:
-            state = self._states_by_scope.get(limit.scope)
+            state = self._usage_by_scope.get(limit.scope)
             if state is not None and state.in_flight > 0:
                 state.in_flight -= 1
 
     def may_retry(self, policy: Policy, now: float) -> bool:
         """Take one retry from the service's budget, if any is left.
 
-        Guards against retry storms: when endpoints fail, each request would
-        be sent several times and keep them overloaded. The budget bounds the
-        extra work to a share of the traffic.
+        Guards against retry storms: the budget limits retries to a share of
+        the traffic when endpoints fail.
         """
         if policy.retry_share <= 0:
             return False
         budget = self._get_budget(policy, now)
-        allowed = RETRY_FLOOR + policy.retry_share * budget.requests
+        allowed = MIN_RETRIES + policy.retry_share * budget.requests
         if budget.retries + 1 > allowed:
             return False
         budget.retries += 1
         return True
 
     def _check(self, limit: Limit, now: float) -> Failure | None:
-        state = self._get_state(limit.scope, now)
+        state = self._get_usage(limit.scope, now)
         share = max(1, self.instances)
-        room = math.ceil(limit.max_in_flight / share)
-        if limit.max_in_flight and state.in_flight >= room:
-            detail = f"{limit.scope}: {room} requests in flight here"
+        allowed = math.ceil(limit.max_in_flight / share)
+        if limit.max_in_flight and state.in_flight >= allowed:
+            detail = f"{limit.scope}: limit of {allowed} requests in flight"
             return Failure(
-                ErrorKind.RATE_LIMITED, detail, retry_after_s=IN_FLIGHT_RETRY_S
+                ErrorKind.RATE_LIMITED, detail, retry_after_s=IN_FLIGHT_RETRY_AFTER_S
             )
         self._refill(state, limit.rate_per_s / share, now)
         if state.tokens is None or state.tokens >= 1:
             return None
         wait_s = (1 - state.tokens) * share / limit.rate_per_s
-        detail = f"{limit.scope}: {limit.rate_per_s:g} requests a second"
+        detail = f"{limit.scope}: limit of {limit.rate_per_s:g} requests per second"
         return Failure(ErrorKind.RATE_LIMITED, detail, retry_after_s=wait_s)
 
-    def _refill(self, state: ScopeState, rate_per_s: float, now: float) -> None:
-        passed_s = max(0.0, now - state.seen)
-        state.seen = now
+    def _refill(self, state: ScopeUsage, rate_per_s: float, now: float) -> None:
+        elapsed_s = max(0.0, now - state.updated_at)
+        state.updated_at = now
         if rate_per_s <= 0:
             state.tokens = None
             return
@@ -138,27 +138,27 @@
         if state.tokens is None:
             state.tokens = capacity
             return
-        state.tokens = min(capacity, state.tokens + passed_s * rate_per_s)
+        state.tokens = min(capacity, state.tokens + elapsed_s * rate_per_s)
 
-    def _get_state(self, scope: str, now: float) -> ScopeState:
-        state = self._states_by_scope.get(scope)
+    def _get_usage(self, scope: str, now: float) -> ScopeUsage:
+        state = self._usage_by_scope.get(scope)
         if state is None:
-            if len(self._states_by_scope) >= MAX_SCOPES:
-                self._forget_idle(now)
-            state = self._states_by_scope[scope] = ScopeState(seen=now)
+            if len(self._usage_by_scope) >= MAX_SCOPES:
+                self._drop_idle_scopes(now)
+            state = self._usage_by_scope[scope] = ScopeUsage(updated_at=now)
         return state
 
-    def _forget_idle(self, now: float) -> None:
-        self._states_by_scope = {
+    def _drop_idle_scopes(self, now: float) -> None:
+        self._usage_by_scope = {
             scope: state
-            for scope, state in self._states_by_scope.items()
-            if state.in_flight or now - state.seen < IDLE_S
+            for scope, state in self._usage_by_scope.items()
+            if state.in_flight or now - state.updated_at < SCOPE_IDLE_S
         }
 
     def _get_budget(self, policy: Policy, now: float) -> RetryBudget:
         key = f"{policy.shop}/{policy.service}"
         budget = self._budgets_by_service.get(key)
         if budget is None:
-            budget = self._budgets_by_service[key] = RetryBudget(seen=now)
-        budget.fade(now)
+            budget = self._budgets_by_service[key] = RetryBudget(updated_at=now)
+        budget.decay(now)
         return budget
--- a/fescuekeel/components/gateway/ranks.py
+++ b/fescuekeel/components/gateway/ranks.py
@@ -1,4 +1,4 @@
-"""The order of a pool's endpoints for an adapter, remembered for a view."""
+"""Cache of endpoint rankings by adapter, for the current membership view."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -6,34 +6,33 @@
 from fescuekeel.components.gateway.routing import rank_alive
 from fescuekeel.messages import AdapterRef, LiveEntry, Member
 
-__all__ = ["Ranks"]
+__all__ = ["RankingCache"]
 
-# At 200 endpoints a pool some 2 MB.
-MAX_RANKED = 1000
+# Some 2 MB with 200 endpoints per pool.
+MAX_CACHED_RANKINGS = 1000
 
 Endpoints = Mapping[str, LiveEntry]
 Members = Mapping[str, Member]
 
 
 @dataclass(frozen=True, slots=True)
-class RankKey:
-    """Name an adapter in a pool."""
+class RankingKey:
+    """Cache key: an adapter in a pool."""
 
     pool: str
     adapter: AdapterRef
 
 
 @dataclass(slots=True)
-class Ranks:
-    """Hash all endpoints of a pool once for an adapter and a view.
+class RankingCache:
+    """Rank the endpoints of a pool once per adapter and membership view.
 
-    Views are never changed but replaced, so that the same mappings mean the
-    same ranks.
+    Views are immutable, so identical mapping objects mean an unchanged view.
     """
 
     _endpoints_by_id: Endpoints = field(default_factory=dict)
     _members_by_id: Members = field(default_factory=dict)
-    _ranked_by_key: dict[RankKey, Sequence[str]] = field(default_factory=dict)
+    _rankings_by_key: dict[RankingKey, Sequence[str]] = field(default_factory=dict)
 
     def get(
         self,
@@ -42,22 +41,24 @@
         endpoints_by_id: Endpoints,
         members_by_id: Members,
     ) -> Sequence[str]:
-        """Return the endpoints as ``rank_alive`` does."""
-        self._take_view(endpoints_by_id, members_by_id)
-        key = RankKey(pool, adapter)
-        ranked = self._ranked_by_key.get(key)
+        """Return the ranking by ``rank_alive``, from the cache if possible."""
+        self._clear_if_view_changed(endpoints_by_id, members_by_id)
+        key = RankingKey(pool, adapter)
+        ranked = self._rankings_by_key.get(key)
         if ranked is not None:
             return ranked
-        if len(self._ranked_by_key) >= MAX_RANKED:
-            del self._ranked_by_key[next(iter(self._ranked_by_key))]
+        if len(self._rankings_by_key) >= MAX_CACHED_RANKINGS:
+            del self._rankings_by_key[next(iter(self._rankings_by_key))]
         ranked = rank_alive(pool, adapter, endpoints_by_id, members_by_id)
-        self._ranked_by_key[key] = ranked
+        self._rankings_by_key[key] = ranked
         return ranked
 
-    def _take_view(self, endpoints_by_id: Endpoints, members_by_id: Members) -> None:
+    def _clear_if_view_changed(
+        self, endpoints_by_id: Endpoints, members_by_id: Members
+    ) -> None:
         same = endpoints_by_id is self._endpoints_by_id
         if same and members_by_id is self._members_by_id:
             return
         self._endpoints_by_id = endpoints_by_id
         self._members_by_id = members_by_id
-        self._ranked_by_key.clear()
+        self._rankings_by_key.clear()
--- a/fescuekeel/components/gateway/request.py
+++ b/fescuekeel/components/gateway/request.py
@@ -1,4 +1,4 @@
-"""The task of one request: it carries out what ``RequestLife`` decides."""
+"""Task of one request, which applies the effects of its state machine."""
 
 import asyncio
 import random
@@ -9,34 +9,34 @@
 
 from fescuekeel.components.gateway.admission import Admission
 from fescuekeel.components.gateway.attempts import (
-    FREE_REASONS,
-    OWNER_WORD_GRACE_S,
+    OWNER_REPLY_GRACE_S,
     RUNNING_GRACE_S,
-    RequestLife,
+    UNBUDGETED_REASONS,
+    RequestStateMachine,
 )
 from fescuekeel.components.gateway.const import SUBMIT_TIMEOUT_S
 from fescuekeel.components.gateway.life import (
     Accepted,
-    AskRetry,
-    Begin,
-    CallerGone,
+    Admitted,
+    AnswerStart,
+    CallerDisconnected,
     CancelAttempt,
-    ChunkCame,
+    CheckBudget,
+    ChunkReceived,
     Deliver,
     Ended,
     Fail,
     Finish,
-    GrantStart,
-    LifeEffect,
-    LifeEvent,
     OwnerLost,
     Phase,
     Refused,
+    RequestEffect,
+    RequestEvent,
     RetryDecided,
     SendAttempt,
-    StartAsked,
     Started,
-    TimePassed,
+    StartRequested,
+    TimerFired,
 )
 from fescuekeel.components.gateway.sink import AnswerHead, CallerSink
 from fescuekeel.core import Instance
@@ -59,49 +59,49 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Say to which endpoint an attempt goes, and who owns that endpoint."""
+    """Endpoint of an attempt and the instance that owns it."""
 
     endpoint: str
     owner: str
 
 
 class Router(Protocol):
-    """Place attempts and answer for the retry budget."""
+    """Choose endpoints, record routing hints and check the retry budget."""
 
     def place(
         self, admission: Admission, request_id: str, tried: frozenset[str]
     ) -> Placement | None:
-        """Choose an endpoint that was not tried yet, if there is one."""
+        """Choose an endpoint that has not rejected this request yet."""
 
     def note_moved(
         self, placement: Placement, admission: Admission, endpoint: str
     ) -> None:
-        """Remember for a moment where an adapter's requests go."""
+        """Record that adapter requests are redirected to ``endpoint``."""
 
     def find_owner(self, endpoint: str) -> str | None:
-        """Return who owns an endpoint now."""
+        """Return the id of the instance that owns an endpoint now."""
 
     def note_sent(self, placement: Placement) -> None:
-        """Count a request on its way to an endpoint."""
+        """Count a request as in flight at an endpoint."""
 
     def note_done(self, placement: Placement) -> None:
-        """Count its end there."""
+        """Count a request at an endpoint as ended."""
 
     def note_answer(
         self, placement: Placement, admission: Admission, wait_s: float
     ) -> None:
-        """Learn from an answer; the wait in seconds is without the load."""
+        """Record that the adapter is loaded, and the wait without the load."""
 
     def note_refusal(self, placement: Placement, failure: Failure) -> None:
-        """Remember for a moment what a refusal tells of an endpoint."""
+        """Record what a rejection says about the endpoint."""
 
     def may_retry(self, admission: Admission, reason: RetryReason) -> bool:
-        """Spend from the service's retry budget."""
+        """Take one retry from the service's retry budget, if any is left."""
 
 
 @dataclass(slots=True)
 class CallerRequest:
-    """One request in progress; its task owns this state."""
+    """One request in progress; only its task changes the state machine."""
 
     instance: Instance
     link: PeerLink
@@ -109,9 +109,9 @@
     request_id: str
     admission: Admission
     sink: CallerSink
-    life: RequestLife
-    arrived: float
-    events: asyncio.Queue[LifeEvent] = field(default_factory=asyncio.Queue)
+    state_machine: RequestStateMachine
+    arrived_at: float
+    events: asyncio.Queue[RequestEvent] = field(default_factory=asyncio.Queue)
     head: AnswerHead = field(default_factory=AnswerHead)
     placement: Placement | None = None
     tried: frozenset[str] = frozenset()
@@ -119,25 +119,25 @@
     moved: bool = False
     _moved_to: str = ""
     _placed_attempt: int = 0
-    _questions_by_attempt: dict[int, PeerMessage] = field(default_factory=dict)
-    _submits: set[asyncio.Task[None]] = field(default_factory=set)
+    _start_requests_by_attempt: dict[int, PeerMessage] = field(default_factory=dict)
+    _submit_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
-    def post(self, event: LifeEvent) -> None:
-        """Queue an event for the task."""
+    def post(self, event: RequestEvent) -> None:
+        """Queue an event for the request's task."""
         self.events.put_nowait(event)
 
     def post_message(self, message: PeerMessage) -> None:
         """Turn an owner's message into an event."""
         match message.body:
             case StartAsk(_, attempt, stall_ms, queue_ms):
-                self._questions_by_attempt[attempt] = message
+                self._start_requests_by_attempt[attempt] = message
                 self._note_waits(stall_ms, queue_ms)
-                self.post(StartAsked(attempt))
+                self.post(StartRequested(attempt))
             case WorkStarted(_, attempt, stall_ms, queue_ms):
                 self._note_waits(stall_ms, queue_ms)
                 self.post(Started(attempt))
             case WorkChunk(_, attempt, position, data, tokens):
-                self.post(ChunkCame(attempt, position, data, tokens))
+                self.post(ChunkReceived(attempt, position, data, tokens))
             case WorkEnd() as end:
                 self._post_end(end)
 
@@ -149,70 +149,71 @@
         if end.kind:
             self.post(Ended(end.attempt, _make_failure(end)))
             return
-        if end.attempt == self.life.attempt:
+        if end.attempt == self.state_machine.attempt:
             self.head.status = end.status
             self.head.content_type = end.content_type
         self.post(Ended(end.attempt))
 
-    def lose_owner(self, owner: str) -> None:
-        """Take note that an instance is lost.
+    def handle_owner_loss(self, owner: str) -> None:
+        """Fail the placed attempt if it belongs to an owner that was lost.
 
-        Guards against attempts that are used up at once: each try to reach a
-        dead owner tells of its loss again, while the next attempt still waits
-        for its back-off. That one has not been sent, so it is not lost.
+        Guards against a loss that is reported repeatedly: it must not fail
+        the next attempt, which is not sent before its back-off ends.
         """
         if self.placement is not None and self.placement.owner == owner:
             self.post(OwnerLost(self._placed_attempt))
 
     async def run(self) -> Failure | None:
-        """Serve the request to its end; return how it failed, if it did."""
+        """Run the request to completion; return its failure, if any."""
         loop = asyncio.get_running_loop()
-        left = self.life.deadline - self.instance.now()
+        left = self.state_machine.deadline - self.instance.now()
         timers = [
-            loop.call_later(left + OWNER_WORD_GRACE_S, self.post, TimePassed()),
-            loop.call_later(left + RUNNING_GRACE_S, self.post, TimePassed()),
+            loop.call_later(left + OWNER_REPLY_GRACE_S, self.post, TimerFired()),
+            loop.call_later(left + RUNNING_GRACE_S, self.post, TimerFired()),
         ]
-        self.post(Begin())
+        self.post(Admitted())
         try:
-            while self.life.phase is not Phase.ENDED:
+            while self.state_machine.phase is not Phase.ENDED:
                 await self._handle(await self.events.get())
         finally:
             for timer in timers:
                 timer.cancel()
-            for task in self._submits:
+            for task in self._submit_tasks:
                 task.cancel()
             if self.placement is not None:
                 self.router.note_done(self.placement)
         return self.failure
 
-    async def _handle(self, event: LifeEvent) -> None:
-        pending: list[LifeEffect] = self.life.handle(event, self.instance.now())
+    async def _handle(self, event: RequestEvent) -> None:
+        pending: list[RequestEffect] = self.state_machine.handle(
+            event, self.instance.now()
+        )
         while pending:
             effect = pending.pop(0)
-            if isinstance(effect, AskRetry):
-                decided = RetryDecided(self._ask_retry(effect.reason))
-                pending += self.life.handle(decided, self.instance.now())
+            if isinstance(effect, CheckBudget):
+                decided = RetryDecided(self._check_budget(effect.reason))
+                pending += self.state_machine.handle(decided, self.instance.now())
             else:
                 await self._apply(effect)
 
-    def _ask_retry(self, reason: RetryReason) -> bool:
-        free = reason in FREE_REASONS
+    def _check_budget(self, reason: RetryReason) -> bool:
+        free = reason in UNBUDGETED_REASONS
         if not free and not self.router.may_retry(self.admission, reason):
             return False
         self.instance.metrics.count(f"retry.{reason}")
         return True
 
-    async def _apply(self, effect: LifeEffect) -> None:
+    async def _apply(self, effect: RequestEffect) -> None:
         match effect:
             case SendAttempt():
                 self._spawn_submit(effect)
-            case GrantStart(attempt, granted):
+            case AnswerStart(attempt, granted):
                 self._answer_start(attempt, granted)
             case CancelAttempt(attempt):
                 self._cancel(attempt)
             case Deliver(data):
                 if not await self.sink.deliver(data, self.head):
-                    self.post(CallerGone())
+                    self.post(CallerDisconnected())
             case Finish():
                 self._note_answer()
                 await self.sink.finish(self.head)
@@ -226,7 +227,7 @@
             self.router.note_answer(self.placement, self.admission, wait_s)
 
     def _answer_start(self, attempt: int, granted: bool) -> None:
-        question = self._questions_by_attempt.pop(attempt, None)
+        question = self._start_requests_by_attempt.pop(attempt, None)
         if question is not None:
             self.link.answer(question, StartAnswer(granted))
 
@@ -236,8 +237,8 @@
 
     def _spawn_submit(self, effect: SendAttempt) -> None:
         task = self.instance.spawn(self._submit(effect), "submit")
-        self._submits.add(task)
-        task.add_done_callback(self._submits.discard)
+        self._submit_tasks.add(task)
+        task.add_done_callback(self._submit_tasks.discard)
 
     async def _submit(self, effect: SendAttempt) -> None:
         if effect.delay_s:
@@ -247,12 +248,12 @@
             failure = Failure(ErrorKind.NO_ENDPOINT, retry_after_s=1.0)
             self.post(Refused(effect.attempt, failure))
             return
-        self._move_to(placement, effect.attempt)
+        self._set_placement(placement, effect.attempt)
         submit = self._make_submit(effect, placement)
         result = await self.link.ask(placement.owner, submit, SUBMIT_TIMEOUT_S)
         self._post_submit_result(effect.attempt, placement, result)
 
-    def _move_to(self, placement: Placement, attempt: int) -> None:
+    def _set_placement(self, placement: Placement, attempt: int) -> None:
         if self.placement is not None:
             self.router.note_done(self.placement)
         self.placement = placement
@@ -262,7 +263,7 @@
     def _place(self, effect: SendAttempt) -> Placement | None:
         endpoint, self._moved_to = self._moved_to, ""
         if effect.resume and self.placement is not None:
-            # The stream runs on one endpoint, whoever owns that endpoint now.
+            # The stream stays on its endpoint even if the owner has changed.
             endpoint = self.placement.endpoint
         if not endpoint:
             return self.router.place(self.admission, self.request_id, self.tried)
@@ -272,7 +273,7 @@
     def _make_submit(self, effect: SendAttempt, placement: Placement) -> Submit:
         policy = self.admission.policy
         caller = self.admission.caller
-        left_s = max(0.0, self.life.deadline - self.instance.now())
+        remaining_s = max(0.0, self.state_machine.deadline - self.instance.now())
         return Submit(
             request_id=self.request_id,
             attempt=effect.attempt,
@@ -281,7 +282,7 @@
             service=policy.service,
             adapter=policy.adapter,
             urgency=policy.urgency,
-            remaining_ms=int(left_s * 1000),
+            remaining_ms=int(remaining_s * 1000),
             repeatable=policy.repeatable,
             stream=self.admission.stream,
             path=caller.path,
@@ -319,7 +320,7 @@
         self.post(Refused(attempt, failure))
 
     def _note_move(self, placement: Placement, endpoint: str) -> None:
-        # The mark keeps two owners from sending it to and fro for ever.
+        # Prevents two owners from redirecting the request to each other.
         self.moved = True
         self._moved_to = endpoint
         self.router.note_moved(placement, self.admission, endpoint)
--- a/fescuekeel/components/gateway/router.py
+++ b/fescuekeel/components/gateway/router.py
@@ -1,8 +1,8 @@
-"""Placement of attempts by the snapshots on the bus."""
+"""Routing of attempts with the latest membership view and routing hints."""
 
 from fescuekeel.components.gateway.admission import Admission
 from fescuekeel.components.gateway.limits import Limits
-from fescuekeel.components.gateway.ranks import Ranks
+from fescuekeel.components.gateway.ranks import RankingCache
 from fescuekeel.components.gateway.request import Placement
 from fescuekeel.components.gateway.routing import Hints, choose
 from fescuekeel.core import Instance
@@ -12,22 +12,22 @@
 
 __all__ = ["GatewayRouter"]
 
-LEAST_FULL_HINT_S = 0.5
+MIN_FULL_HINT_S = 0.5
 
 
 class GatewayRouter:
-    """Choose endpoints with the pure ``routing`` and remember hints."""
+    """Choose endpoints for requests and record routing hints."""
 
     def __init__(self, instance: Instance, limits: Limits) -> None:
         self._instance = instance
         self._limits = limits
         self.hints = Hints()
-        self._ranks = Ranks()
+        self._ranks = RankingCache()
 
     def place(
         self, admission: Admission, request_id: str, tried: frozenset[str]
     ) -> Placement | None:
-        """Choose an endpoint that was not tried yet."""
+        """Choose an endpoint that has not rejected this request yet."""
         view = self._instance.bus.latest(MemberView)
         if view is None:
             return None
@@ -50,7 +50,7 @@
         return Placement(choice.endpoint, choice.owner)
 
     def find_owner(self, endpoint: str) -> str | None:
-        """Return who owns an endpoint now."""
+        """Return the id of the instance that owns an endpoint now."""
         view = self._instance.bus.latest(MemberView)
         if view is None:
             return None
@@ -62,36 +62,36 @@
     def note_moved(
         self, placement: Placement, admission: Admission, endpoint: str
     ) -> None:
-        """Remember for a moment where an adapter's requests go."""
+        """Record that adapter requests are redirected to ``endpoint``."""
         adapter, now = admission.policy.adapter, self._instance.now()
         self.hints.note_moved(placement.endpoint, endpoint, adapter, now)
 
     def note_sent(self, placement: Placement) -> None:
-        """Count a request on its way to an endpoint."""
+        """Count a request as in flight at an endpoint."""
         self.hints.note_sent(placement.endpoint)
 
     def note_done(self, placement: Placement) -> None:
-        """Count its end there."""
+        """Count a request at an endpoint as ended."""
         self.hints.note_done(placement.endpoint)
 
     def note_answer(
         self, placement: Placement, admission: Admission, wait_s: float
     ) -> None:
-        """Learn from an answer where a copy is and how long room took."""
+        """Record that the adapter is loaded, and the wait without the load."""
         adapter = admission.policy.adapter
         now = self._instance.now()
-        self.hints.note_ended(placement.endpoint, adapter, wait_s, now)
+        self.hints.note_answer(placement.endpoint, adapter, wait_s, now)
 
     def note_refusal(self, placement: Placement, failure: Failure) -> None:
-        """Remember for a moment that an endpoint is full."""
-        # "Too late" tells of the wait for a load, not of a want of room. Taken
-        # for one it would send other adapters elsewhere, at a load each.
+        """Record that an endpoint rejected a request for a full queue."""
+        # "Too late" reports the wait for an adapter load, not a full queue;
+        # treating it as one would cause needless loads on other endpoints.
         if failure.kind is not ErrorKind.QUEUE_FULL:
             return
-        retry_after_s = max(failure.retry_after_s, LEAST_FULL_HINT_S)
+        retry_after_s = max(failure.retry_after_s, MIN_FULL_HINT_S)
         now = self._instance.now()
         self.hints.note_full(placement.endpoint, retry_after_s, now)
 
     def may_retry(self, admission: Admission, reason: RetryReason) -> bool:
-        """Spend from the service's retry budget."""
+        """Take one retry from the service's retry budget, if any is left."""
         return self._limits.may_retry(admission.policy, self._instance.now())
--- a/fescuekeel/components/gateway/routing.py
+++ b/fescuekeel/components/gateway/routing.py
@@ -1,8 +1,8 @@
-"""Which endpoint and owner a request goes to; pure decisions.
+"""Choice of the endpoint and owner for a request, without I/O.
 
-An adapter's home follows from hashing, so that idle adapters cost nothing.
-Hints only save time: with none at all a request goes to its home, and an
-outdated one costs a wait or a load and no more.
+Rendezvous hashing assigns each adapter a home endpoint, so idle adapters need
+no state. Hints are an optimisation: without any, a request goes to its home,
+and a stale one costs at most an extra wait or adapter load.
 """
 
 from collections.abc import Callable, Collection, Mapping, Sequence
@@ -31,17 +31,17 @@
     [str, AdapterRef, Mapping[str, LiveEntry], Mapping[str, Member]], Sequence[str]
 ]
 
-HINT_S = 5.0
+HINT_TTL_S = 5.0
 MAX_HINTS = 10_000
-# How many endpoints, in order of their rank, may hold copies of one adapter.
+# Copies of an adapter are placed on this many of its first-ranked endpoints.
 MAX_COPIES = 3
-PLAIN_CANDIDATES = 2
-# Owners send requests on among the first two endpoints.
-MOVE_CANDIDATES = 2
+MAX_PLAIN_CANDIDATES = 2
+# Owners redirect requests only among the first two ranked endpoints.
+MAX_MOVE_CANDIDATES = 2
 
 
 class RouteReason(StrEnum):
-    """Name why an endpoint was chosen."""
+    """Reason for the choice of an endpoint."""
 
     HOME = "home"
     COPY = "copy"
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Say where a request goes, and why."""
+    """Endpoint and owner for a request, and the reason for the choice."""
 
     endpoint: str
     owner: str
@@ -61,26 +61,26 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedWait:
-    """A wait in seconds that was seen at some time."""
+    """Queue wait at an endpoint, and when it was recorded."""
 
     wait_s: float
-    seen: float
+    updated_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Where an adapter's requests were sent on to, and when."""
+    """Endpoint that an adapter's requests were redirected to, and when."""
 
     endpoint: str
-    seen: float
+    updated_at: float
 
 
 @dataclass(slots=True)
 class Hints:
-    """What an entry instance has seen in the last seconds.
+    """Short-lived observations of an entry instance about endpoints.
 
     >>> hints, ref = Hints(), AdapterRef("cups", "1")
-    >>> hints.note_ended("e1", ref, wait_s=0.2, now=10.0)
+    >>> hints.note_answer("e1", ref, wait_s=0.2, now=10.0)
     >>> hints.has_copy("e1", ref, 12.0), hints.has_copy("e1", ref, 16.0)
     (True, False)
     """
@@ -91,75 +91,75 @@
     _moves_by_adapter: dict[AdapterRef, Move] = field(default_factory=dict)
 
     def note_sent(self, endpoint: str) -> None:
-        """Count a request that was handed to an endpoint's owner."""
+        """Count a request as in flight at an endpoint."""
         count = self.in_flight_by_endpoint.get(endpoint, 0)
         self.in_flight_by_endpoint[endpoint] = count + 1
 
     def note_done(self, endpoint: str) -> None:
-        """Count its end, whatever the outcome."""
+        """Count a request as ended, whatever the outcome."""
         count = self.in_flight_by_endpoint.get(endpoint, 0)
         if count > 1:
             self.in_flight_by_endpoint[endpoint] = count - 1
             return
         self.in_flight_by_endpoint.pop(endpoint, None)
 
-    def note_ended(
+    def note_answer(
         self, endpoint: str, adapter: AdapterRef, wait_s: float, now: float
     ) -> None:
-        """Learn from an answer: the copy, and the wait for room in seconds.
+        """Record that the adapter is loaded there, and the queue wait.
 
-        ``wait_s`` leaves out the time spent on the adapter's load.
+        ``wait_s`` excludes the time spent loading the adapter.
         """
         self._waits_by_endpoint[endpoint] = TimedWait(wait_s, now)
         if not adapter:
             return
         if len(self._copies_by_adapter) >= MAX_HINTS:
-            self._forget(now)
+            self._prune_copies(now)
         self._copies_by_adapter.setdefault(adapter, {})[endpoint] = now
 
     def note_full(self, endpoint: str, retry_after_s: float, now: float) -> None:
-        """Learn from a refusal for want of room."""
-        wait_s = max(retry_after_s, HINT_S)
+        """Record that the endpoint rejected a request because it is full."""
+        wait_s = max(retry_after_s, HINT_TTL_S)
         self._waits_by_endpoint[endpoint] = TimedWait(wait_s, now)
 
     def get_wait_s(self, endpoint: str, now: float) -> float:
-        """Return the wait for room, what was seen fading as it ages."""
+        """Return the queue wait, decaying linearly to zero with its age."""
         timed = self._waits_by_endpoint.get(endpoint)
         if timed is None:
             return 0.0
-        fade = max(0.0, 1.0 - (now - timed.seen) / HINT_S)
-        return timed.wait_s * fade
+        decay = max(0.0, 1.0 - (now - timed.updated_at) / HINT_TTL_S)
+        return timed.wait_s * decay
 
     def has_copy(self, endpoint: str, adapter: AdapterRef, now: float) -> bool:
-        """Tell whether the adapter served there a moment ago."""
+        """Return whether the adapter was recently loaded at the endpoint."""
         seen = self._copies_by_adapter.get(adapter, {}).get(endpoint)
-        return seen is not None and now - seen <= HINT_S
+        return seen is not None and now - seen <= HINT_TTL_S
 
     def note_moved(
         self, home: str, endpoint: str, adapter: AdapterRef, now: float
     ) -> None:
-        """Learn that an endpoint has no copy and sends its requests on."""
+        """Record that ``home`` has no copy and redirects to ``endpoint``."""
         self._copies_by_adapter.get(adapter, {}).pop(home, None)
         if len(self._moves_by_adapter) >= MAX_HINTS:
             del self._moves_by_adapter[next(iter(self._moves_by_adapter))]
         self._moves_by_adapter.pop(adapter, None)
         self._moves_by_adapter[adapter] = Move(endpoint, now)
 
-    def get_moved(self, adapter: AdapterRef, now: float) -> str | None:
-        """Return where the adapter's requests go instead of their home."""
+    def get_move_target(self, adapter: AdapterRef, now: float) -> str | None:
+        """Return the endpoint that the adapter is redirected to, if any."""
         move = self._moves_by_adapter.get(adapter)
-        if move is None or now - move.seen > HINT_S:
+        if move is None or now - move.updated_at > HINT_TTL_S:
             return None
         return move.endpoint
 
-    def _forget(self, now: float) -> None:
-        """Drop outdated hints, and the oldest ones if that is not enough."""
+    def _prune_copies(self, now: float) -> None:
+        """Drop stale copies, and the oldest ones if that is not enough."""
         seen_by_adapter = {
             adapter: max(copies.values())
             for adapter, copies in self._copies_by_adapter.items()
         }
         for adapter in sorted(seen_by_adapter, key=seen_by_adapter.__getitem__):
-            fresh = now - seen_by_adapter[adapter] <= HINT_S
+            fresh = now - seen_by_adapter[adapter] <= HINT_TTL_S
             if fresh and len(self._copies_by_adapter) < MAX_HINTS * 3 // 4:
                 return
             del self._copies_by_adapter[adapter]
@@ -177,16 +177,17 @@
     tried: Collection[str] = (),
     rank: Rank = rank_alive,
 ) -> Choice | None:
-    """Return where a request goes next, or ``None`` when nothing is left.
+    """Choose the next endpoint, or ``None`` when no candidate is left.
 
-    ``tried`` are the endpoints that refused this request already. A pool
-    without adapters takes the less loaded of two endpoints that the request
-    id picks. ``load_s`` is what one load costs, in seconds.
+    ``tried`` holds the endpoints that already rejected this request. In a
+    pool without adapters, the choice is the less loaded of the two endpoints
+    that the request id hashes to. ``load_s`` is the duration of one adapter
+    load in seconds.
     """
     if adapter:
         ranked = rank(pool, adapter, endpoints_by_id, members_by_id)
     else:
-        # Each request has an order of its own, which nothing can remember.
+        # The ranking depends on the request id, so caching is useless.
         key = AdapterRef(request_id)
         ranked = rank_alive(pool, key, endpoints_by_id, members_by_id)
     candidates = [id for id in ranked if id not in tried]
@@ -197,7 +198,7 @@
             candidates[:MAX_COPIES], adapter, hints, now, load_s
         )
     else:
-        endpoint = _choose_least_loaded(candidates[:PLAIN_CANDIDATES], hints, now)
+        endpoint = _choose_least_loaded(candidates[:MAX_PLAIN_CANDIDATES], hints, now)
         reason = RouteReason.LEAST_LOADED
     owner = choose_owner(endpoints_by_id[endpoint], members_by_id.values())
     if owner is None:
@@ -212,12 +213,12 @@
     now: float,
     load_s: float,
 ) -> tuple[str, RouteReason]:
-    """Stay at home unless waiting there costs more than a load elsewhere."""
+    """Choose the home unless another candidate has a lower expected delay."""
     home, reason = candidates[0], RouteReason.HOME
-    moved = hints.get_moved(adapter, now)
-    # Guards against a hint that names an endpoint behind a cut: such ones rank
-    # last, while owners send requests on among the first two ranks only.
-    if moved in candidates[1:MOVE_CANDIDATES]:
+    moved = hints.get_move_target(adapter, now)
+    # Guards against a hint that names an endpoint behind a partition: those
+    # rank last, while owners redirect among the first two ranks only.
+    if moved in candidates[1:MAX_MOVE_CANDIDATES]:
         home, reason = moved, RouteReason.MOVED
     best, best_s, best_reason = home, hints.get_wait_s(home, now), reason
     for endpoint in candidates:
--- a/fescuekeel/components/gateway/server.py
+++ b/fescuekeel/components/gateway/server.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""HTTP server for callers."""
 
 import asyncio
 import secrets
@@ -42,37 +42,37 @@
 __all__ = ["CallersServer"]
 
 RANDOM_ID_BYTES = 8
-# A body above the limit is refused by name; one far above it is not even read
-# and its connection is closed.
+# A body above MAX_BODY_BYTES gets an error response; above this multiple it is
+# not read and the connection is closed.
 HARD_BODY_FACTOR = 2
-# A caller whose machine is gone without a word is noticed after about a
-# minute, also while nothing is written to it.
+# TCP keepalive detects a dead caller after about a minute, even while nothing
+# is written to it.
 KEEPALIVE_IDLE_S = 30
 KEEPALIVE_INTERVAL_S = 10
 KEEPALIVE_PROBES = 3
 
 
 class CallerHandler(RequestHandler):
-    """Answer one request of a caller."""
+    """Base handler for one request of a caller."""
 
     def initialize(self, gateway: "Gateway") -> None:
-        """Take the gateway that serves the request."""
+        """Set the gateway that serves the request."""
         self.gateway = gateway
         self.request_id = ""
 
     def prepare(self) -> None:
-        """Give the request an id that no other request has."""
-        theirs = clean_request_id(self.request.headers.get(HEADER_REQUEST_ID, ""))
+        """Assign a unique id to the request."""
+        caller_id = clean_request_id(self.request.headers.get(HEADER_REQUEST_ID, ""))
         unique = secrets.token_hex(RANDOM_ID_BYTES)
-        self.request_id = f"{theirs}.{unique}" if theirs else unique
-        self.set_header(HEADER_REQUEST_ID, theirs or unique)
+        self.request_id = f"{caller_id}.{unique}" if caller_id else unique
+        self.set_header(HEADER_REQUEST_ID, caller_id or unique)
 
     def on_connection_close(self) -> None:
-        """Stop the work for a caller that is gone."""
+        """Cancel the request of a caller that disconnected."""
         self.gateway.lose_caller(self.request_id)
 
     def read_input(self, path: str) -> CallerInput:
-        """Return the request as the admission reads it."""
+        """Return the parts of the request that admission needs."""
         headers = self.request.headers
         return CallerInput(
             authorization=headers.get("Authorization", ""),
@@ -84,7 +84,7 @@
         )
 
     async def answer(self, admitted: Result[Admission, Failure]) -> None:
-        """Serve an admitted request, or refuse it."""
+        """Serve an admitted request, or respond with its rejection."""
         if isinstance(admitted, Success):
             admission = admitted.unwrap()
             sink = HandlerSink(self, admission.stream)
@@ -95,7 +95,7 @@
 
 
 class CompletionHandler(CallerHandler):
-    """Answer a request for a completion."""
+    """Handle a completion request."""
 
     async def post(self) -> None:
         """Admit and serve the request."""
@@ -105,10 +105,10 @@
 
 
 class PlainHandler(CallerHandler):
-    """Answer a request to a plain service."""
+    """Handle a request to a plain service."""
 
     async def serve_any(self, service: str, rest: str) -> None:
-        """Admit and serve the request, whatever its method."""
+        """Admit and serve the request, for every HTTP method."""
         query = f"?{self.request.query}" if self.request.query else ""
         caller = self.read_input(f"/{rest or ''}{query}")
         intent = get_intent(self.gateway.instance.bus)
@@ -120,28 +120,28 @@
 
 
 class HealthHandler(RequestHandler):
-    """Tell the platform's balancer whether to send requests here."""
+    """Health check for the platform's load balancer."""
 
     def initialize(self, gateway: "Gateway") -> None:
-        """Take the gateway."""
+        """Set the gateway."""
         self.gateway = gateway
 
     def get(self) -> None:
-        """Answer 200 once the tree is in force and until draining."""
+        """Respond 200 if the gateway is ready, 503 otherwise."""
         self.set_status(200 if self.gateway.ready else 503)
 
 
 class UnknownPathHandler(CallerHandler):
-    """Answer every other path."""
+    """Reject requests to unknown paths."""
 
     async def prepare(self) -> None:  # type: ignore[override]
-        """Refuse the request."""
+        """Reject the request."""
         super().prepare()
         await self.answer(Result.from_failure(Failure(ErrorKind.UNKNOWN_SERVICE)))
 
 
 class CallersServer:
-    """Own the callers' listening socket."""
+    """HTTP server that owns the listening sockets for callers."""
 
     def __init__(self, gateway: "Gateway", settings: CallersSettings) -> None:
         self._settings = settings
@@ -157,7 +157,7 @@
         )
         self._server = HTTPServer(
             application,
-            ssl_options=self._make_tls(),
+            ssl_options=self._make_ssl_context(),
             max_buffer_size=4 * MAX_BODY_BYTES,
             max_body_size=HARD_BODY_FACTOR * MAX_BODY_BYTES,
             max_header_size=MAX_HEADER_BYTES,
@@ -166,7 +166,7 @@
         )
         self.address = settings.address
 
-    def _make_tls(self) -> ssl.SSLContext | None:
+    def _make_ssl_context(self) -> ssl.SSLContext | None:
         if not self._settings.tls_certificate:
             return None
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
@@ -174,18 +174,18 @@
         return context
 
     def start(self) -> None:
-        """Listen."""
+        """Listen on the configured address."""
         sockets, self.address = bind_address(self._settings.address)
         for listening in sockets:
             _set_keepalive(listening)
         self._server.add_sockets(sockets)
 
     def stop_listening(self) -> None:
-        """Take no further connections."""
+        """Stop accepting connections."""
         self._server.stop()
 
     async def close(self) -> None:
-        """Close what is still open."""
+        """Close the remaining connections."""
         async with asyncio.timeout(1.0):
             await self._server.close_all_connections()
 
--- a/fescuekeel/components/gateway/sink.py
+++ b/fescuekeel/components/gateway/sink.py
@@ -1,4 +1,4 @@
-"""Where the answer of one request goes."""
+"""Delivery of a response to the caller."""
 
 import asyncio
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class AnswerHead:
-    """What is known of an answer apart from its body."""
+    """Status and headers of a response."""
 
     status: int = 200
     content_type: str = JSON_CONTENT_TYPE
@@ -33,55 +33,58 @@
 
 
 class CallerSink(Protocol):
-    """Take the answer to one request; return false when the caller is gone."""
+    """Receive the response to one request.
+
+    Each method returns false when it cannot be delivered to the caller.
+    """
 
     async def deliver(self, data: bytes, head: AnswerHead) -> bool:
-        """Take a piece of the answer."""
+        """Receive a response chunk."""
 
     async def finish(self, head: AnswerHead) -> bool:
-        """End a whole answer."""
+        """Complete a successful response."""
 
     async def fail(self, failure: Failure) -> bool:
-        """Tell of a failure, in a stream that has begun or as the answer."""
+        """Report a failure, as an event if the stream has already started."""
 
 
 class HandlerSink:
-    """Write the answer through a tornado handler.
+    """Write the response through a Tornado handler.
 
-    A stream goes out piece by piece. Any other answer is held until its end
-    is known, so that a failure halfway still becomes a truthful status.
+    Streams are written chunk by chunk. Any other response is buffered until
+    it is complete, so that a late failure can still set the HTTP status.
     """
 
     def __init__(self, handler: RequestHandler, stream: bool) -> None:
         self._handler = handler
         self._stream = stream
-        self._held = bytearray()
-        self._begun = False
-        self._write: asyncio.Future[None] | None = None
+        self._buffer = bytearray()
+        self._head_written = False
+        self._pending_write: asyncio.Future[None] | None = None
 
     async def deliver(self, data: bytes, head: AnswerHead) -> bool:
-        """Take a piece of the answer."""
+        """Receive a response chunk."""
         if not self._stream:
-            self._held += data
-            return len(self._held) <= MAX_ANSWER_BYTES
-        if not self._begun:
+            self._buffer += data
+            return len(self._buffer) <= MAX_ANSWER_BYTES
+        if not self._head_written:
             self._begin(head, STREAM_CONTENT_TYPE)
             self._set_nodelay()
         self._handler.write(data)
         return await self._flush()
 
     async def finish(self, head: AnswerHead) -> bool:
-        """End a whole answer."""
-        if not self._begun:
+        """Complete a successful response."""
+        if not self._head_written:
             default = STREAM_CONTENT_TYPE if self._stream else JSON_CONTENT_TYPE
             self._begin(head, head.content_type or default)
-        self._handler.write(bytes(self._held))
+        self._handler.write(bytes(self._buffer))
         return await self._end()
 
     async def fail(self, failure: Failure) -> bool:
-        """Tell of a failure."""
+        """Report a failure."""
         body = to_error_body(failure)
-        if self._begun:
+        if self._head_written:
             self._handler.write(b"data: " + body + b"\n\n")
             return await self._end()
         self._handler.set_status(failure.answer.status)
@@ -94,34 +97,34 @@
         return await self._end()
 
     def _begin(self, head: AnswerHead, content_type: str) -> None:
-        self._begun = True
+        self._head_written = True
         self._handler.set_status(head.status)
         self._handler.set_header("Content-Type", content_type)
         self._handler.set_header(HEADER_STALL_MS, str(head.stall_ms))
         self._handler.set_header(HEADER_QUEUE_MS, str(head.queue_ms))
 
     def _set_nodelay(self) -> None:
-        # Guards against tokens that come in bursts: the library switches the
-        # socket's delay on for each request, and a small write then waits for
-        # the acknowledgement of the one before, which callers send 40 ms late.
+        # Guards against bursts of tokens: Tornado re-enables Nagle's algorithm
+        # for each request, which together with delayed ACKs holds back small
+        # writes by 40 ms.
         stream = getattr(self._handler.request.connection, "stream", None)
         if stream is not None and not stream.closed():
             stream.set_nodelay(True)
 
     async def _flush(self) -> bool:
-        """Write on without waiting, once the piece before has gone out."""
+        """Start writing the chunk once the previous write has finished."""
         if not await self._wait_for_write():
             return False
         try:
-            self._write = asyncio.ensure_future(self._handler.flush())
+            self._pending_write = asyncio.ensure_future(self._handler.flush())
         except StreamClosedError:
             return False
         return True
 
     async def _wait_for_write(self) -> bool:
-        # Guards against a caller that stops reading: the write would wait for
-        # ever and the pieces of its answer would pile up in memory.
-        write, self._write = self._write, None
+        # Guards against a caller that stops reading: the write would never
+        # finish and chunks would accumulate in memory.
+        write, self._pending_write = self._pending_write, None
         if write is None or write.done():
             return write is None or write.exception() is None
         try:
@@ -134,8 +137,8 @@
     async def _end(self) -> bool:
         try:
             async with asyncio.timeout(CALLER_WRITE_TIMEOUT_S):
-                if self._write is not None:
-                    await self._write
+                if self._pending_write is not None:
+                    await self._pending_write
                 await self._handler.finish()
         except (StreamClosedError, TimeoutError):
             return False
--- a/tests/components/gateway/fakes.py
+++ b/tests/components/gateway/fakes.py
@@ -1,4 +1,4 @@
-"""A gateway with fakes at its borders."""
+"""A gateway with fakes for the components that it talks to."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -89,14 +89,14 @@
 
 
 class FakeOwner:
-    """Play the owner of every endpoint; ``play`` says what it does."""
+    """Fake owner of every endpoint; ``respond`` answers each submit."""
 
     def __init__(self, instance):
         self.instance = instance
-        self.play = self.answer_whole
+        self.respond = self.answer_whole
         self.submits = []
         self.sent = []
-        self.leave = []
+        self.start_answers = []
 
     def send(self, instance_id, body):
         self.sent.append(body)
@@ -104,24 +104,24 @@
 
     def answer(self, question, body):
         if isinstance(body, StartAnswer):
-            self.leave.append(body.granted)
+            self.start_answers.append(body.granted)
 
     async def ask(self, instance_id, body, timeout_s):
         self.submits.append(body)
-        return self.play(body)
+        return self.respond(body)
 
-    def tell(self, body, number=0):
+    def publish(self, body, number=0):
         self.instance.bus.publish_peer(PeerMessage("i2", number, body))
 
-    def later(self, *bodies):
+    def publish_soon(self, *bodies):
         loop = asyncio.get_running_loop()
         for body in bodies:
-            loop.call_soon(self.tell, body, 7 if isinstance(body, StartAsk) else 0)
+            loop.call_soon(self.publish, body, 7 if isinstance(body, StartAsk) else 0)
 
     def answer_whole(self, submit):
         id, attempt = submit.request_id, submit.attempt
         start = WorkStarted if submit.repeatable else StartAsk
-        self.later(
+        self.publish_soon(
             start(id, attempt, stall_ms=3, queue_ms=4),
             WorkChunk(id, attempt, 0, b'{"text": "ab"}'),
             WorkEnd(id, attempt, content_type="application/json"),
@@ -130,7 +130,7 @@
 
     def answer_stream(self, submit):
         id, attempt = submit.request_id, submit.attempt
-        self.later(
+        self.publish_soon(
             WorkStarted(id, attempt),
             WorkChunk(id, attempt, 0, b"data: a\n\n"),
             WorkChunk(id, attempt, 1, b"data: [DONE]\n\n", 0),
@@ -140,7 +140,7 @@
 
     def answer_stream_without_end(self, submit):
         id, attempt = submit.request_id, submit.attempt
-        self.later(
+        self.publish_soon(
             WorkStarted(id, attempt),
             WorkChunk(id, attempt, 0, b"data: a\n\n"),
             WorkEnd(id, attempt),
@@ -148,12 +148,12 @@
         return Success(SubmitAnswer(True))
 
     def hang(self, submit):
-        self.later(WorkStarted(submit.request_id, submit.attempt))
+        self.publish_soon(WorkStarted(submit.request_id, submit.attempt))
         return Success(SubmitAnswer(True))
 
     def answer_start_only(self, submit):
         kind = WorkStarted if submit.repeatable else StartAsk
-        self.later(kind(submit.request_id, submit.attempt))
+        self.publish_soon(kind(submit.request_id, submit.attempt))
         return Success(SubmitAnswer(True))
 
     def refuse(self, kind, retry_after_ms=0):
@@ -165,12 +165,12 @@
         return lambda submit: Success(answer)
 
     def end(self, kind, ran):
-        def play(submit):
+        def respond(submit):
             id, attempt = submit.request_id, submit.attempt
-            self.later(WorkEnd(id, attempt, kind.value, ran))
+            self.publish_soon(WorkEnd(id, attempt, kind.value, ran))
             return Success(SubmitAnswer(True))
 
-        return play
+        return respond
 
 
 def make_view(*more):
@@ -189,8 +189,8 @@
     )
 
 
-class Bench:
-    """A gateway that listens, with its fakes and a client."""
+class GatewayHarness:
+    """A listening gateway with its fakes and an HTTP client."""
 
     def __init__(self, **changes):
         self.instance = Instance(make_settings())
@@ -221,11 +221,11 @@
 
 
 @asynccontextmanager
-async def open_bench(**changes):
-    """Start a gateway and stop it in the end."""
-    bench = Bench(**changes)
-    await bench.gateway.start()
+async def open_harness(**changes):
+    """Start a gateway, and stop it on exit."""
+    harness = GatewayHarness(**changes)
+    await harness.gateway.start()
     try:
-        yield bench
+        yield harness
     finally:
-        await bench.gateway.stop()
+        await harness.gateway.stop()
--- a/tests/components/gateway/test_limits.py
+++ b/tests/components/gateway/test_limits.py
@@ -1,9 +1,9 @@
-"""Tests of limits and retry budgets."""
+"""Tests of rate limits, concurrency limits and retry budgets."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from fescuekeel.components.gateway.limits import RETRY_FLOOR, Limits
+from fescuekeel.components.gateway.limits import MIN_RETRIES, Limits
 from fescuekeel.components.tree.model import Limit, Policy, Pool, PoolKind
 from fescuekeel.errors import ErrorKind
 from fescuekeel.messages import AdapterRef
@@ -29,7 +29,7 @@
 
 
 class TestLimits:
-    def test_the_rate_holds_over_time_and_the_hint_is_right(self):
+    def test_rate_is_enforced_and_retry_after_is_exact(self):
         policy = make_policy(Limit("shop", rate_per_s=4))
         limits = Limits()
         assert [limits.admit(policy, 0.0) for _ in range(4)] == [None] * 4
@@ -39,7 +39,7 @@
         assert limits.admit(policy, 0.25) is None
         assert limits.admit(policy, 0.25) is not None
 
-    def test_the_shops_limit_covers_its_services_together(self):
+    def test_limit_of_a_shop_covers_all_its_services(self):
         shop = Limit("shop", max_in_flight=2)
         one = make_policy(shop, Limit("shop/one", max_in_flight=1), service="one")
         two = make_policy(shop, service="two")
@@ -51,7 +51,7 @@
         limits.release(one)
         assert limits.admit(two, 0.0) is None
 
-    def test_a_refusal_takes_nothing_from_any_level(self):
+    def test_rejected_request_consumes_no_limit(self):
         policy = make_policy(
             Limit("shop", rate_per_s=3), Limit("shop/service", max_in_flight=1)
         )
@@ -62,7 +62,7 @@
             limits.release(policy)
             assert limits.admit(policy, 0.0) is None
 
-    def test_instances_share_a_limit(self):
+    def test_instances_divide_a_limit(self):
         policy = make_policy(Limit("shop", max_in_flight=8))
         limits = Limits(instances=4)
         assert [limits.admit(policy, 0.0) is None for _ in range(3)] == [
@@ -73,7 +73,7 @@
 
     @settings(derandomize=True, deadline=None, database=None)
     @given(st.lists(st.booleans(), max_size=60), st.integers(1, 5))
-    def test_no_more_run_at_once_than_allowed(self, arrivals, most):
+    def test_concurrency_never_exceeds_the_limit(self, arrivals, most):
         policy = make_policy(Limit("shop", max_in_flight=most))
         limits = Limits()
         running = 0
@@ -87,12 +87,8 @@
 
 
 class TestRetryBudget:
-    def test_retries_are_a_share_of_the_traffic(self):
-        """All endpoints fail and each request asks to be tried again.
-
-        Without a budget the endpoints would see each request many times and
-        stay overloaded after the cause is gone.
-        """
+    def test_retries_are_limited_to_a_share_of_the_traffic(self):
+        """Guards against a retry storm while all endpoints fail."""
         policy = make_policy(retry_share=0.1)
         limits = Limits()
         retries = 0
@@ -100,9 +96,9 @@
             now = number * 0.001
             assert limits.admit(policy, now) is None
             retries += limits.may_retry(policy, now)
-        assert RETRY_FLOOR <= retries <= RETRY_FLOOR + 0.1 * 1000
+        assert MIN_RETRIES <= retries <= MIN_RETRIES + 0.1 * 1000
 
-    def test_a_quiet_service_may_retry_again_later(self):
+    def test_budget_recovers_without_traffic(self):
         policy = make_policy()
         limits = Limits()
         while limits.may_retry(policy, 0.0):
@@ -110,5 +106,5 @@
         assert not limits.may_retry(policy, 0.0)
         assert limits.may_retry(policy, 60.0)
 
-    def test_a_share_of_zero_allows_none(self):
+    def test_retry_share_of_zero_allows_no_retry(self):
         assert not Limits().may_retry(make_policy(retry_share=0.0), 0.0)
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -14,7 +14,7 @@
 INTENT = "components/tree/test_intent.py"
 KEYS = "components/keys/test_decision.py"
 OWNER = "components/owner/test_endpoint.py"
-NAMED = f"{GATEWAY}::test_what_is_wrong_is_named"
+NAMED = f"{GATEWAY}::test_error_names_the_kind_of_failure"
 NOT_IN_TREE = f"{INTENT}::TestResolve::test_what_is_not_in_the_tree_is_refused"
 SECOND_CLAIM = f"{KEYS}::TestLedger::test_a_second_request_is_refused"
 FRAMES = "components/peers/test_frames.py::TestFrameReader"
@@ -22,13 +22,13 @@
 # Each test drives what finds the failure itself, not what passes it on.
 TESTS_BY_KIND = {
     ErrorKind.BAD_REQUEST: NAMED,
-    ErrorKind.BODY_TOO_LARGE: f"{GATEWAY}::test_a_body_that_is_too_large_is_named",
+    ErrorKind.BODY_TOO_LARGE: f"{GATEWAY}::test_too_large_body_is_rejected",
     ErrorKind.UNAUTHENTICATED: NAMED,
     ErrorKind.UNKNOWN_SERVICE: NOT_IN_TREE,
     ErrorKind.UNKNOWN_ADAPTER: NOT_IN_TREE,
     ErrorKind.UNKNOWN_VERSION: NOT_IN_TREE,
     ErrorKind.TREE_NOT_READY: (
-        f"{GATEWAY}::test_nothing_is_served_before_the_tree_is_known"
+        f"{GATEWAY}::test_requests_are_rejected_before_the_tree_is_known"
     ),
     ErrorKind.CONFIGURATION_STALE: (
         "components/forward/test_accounts.py::TestAge::"
@@ -36,14 +36,14 @@
     ),
     ErrorKind.RATE_LIMITED: (
         "components/gateway/test_limits.py::TestLimits::"
-        "test_the_rate_holds_over_time_and_the_hint_is_right"
+        "test_rate_is_enforced_and_retry_after_is_exact"
     ),
     ErrorKind.QUEUE_FULL: f"{SCHEDULING}::TestRefusals::test_full_queue",
     ErrorKind.TOO_LATE: f"{SCHEDULING}::TestRefusals::test_too_late_is_told_at_once",
     ErrorKind.EXPIRED: (
         f"{SCHEDULING}::TestRefusals::test_expired_when_the_owner_was_not_awake"
     ),
-    ErrorKind.NO_ENDPOINT: f"{GATEWAY}::test_a_pool_without_endpoints_refuses_at_once",
+    ErrorKind.NO_ENDPOINT: f"{GATEWAY}::test_empty_pool_rejects_immediately",
     ErrorKind.NOT_OWNER: f"{OWNER}::TestPath::test_instance_that_is_not_named_refuses",
     ErrorKind.MOVED: (
         "components/owner/test_arrivals.py::TestMoves::"
@@ -56,7 +56,7 @@
         "components/plain/test_driver.py::TestDispatch::"
         "test_explicit_refusal_means_not_run"
     ),
-    ErrorKind.DRAINING: f"{GATEWAY}::test_a_draining_instance_takes_no_more",
+    ErrorKind.DRAINING: f"{GATEWAY}::test_draining_instance_rejects_requests",
     ErrorKind.KEY_HOME_UNREACHABLE: (
         f"{KEYS}::TestTally::test_a_majority_of_three_wins"
     ),
@@ -64,17 +64,17 @@
     ErrorKind.KEY_USED: SECOND_CLAIM,
     ErrorKind.KEY_MISMATCH: SECOND_CLAIM,
     ErrorKind.RETRY_BUDGET_SPENT: (
-        f"{ATTEMPTS}::TestOutcome::test_a_spent_budget_is_told_as_not_run"
+        f"{ATTEMPTS}::TestOutcome::test_spent_retry_budget_is_reported_as_not_run"
     ),
     ErrorKind.CANCELLED: (
-        f"{ATTEMPTS}::TestOutcome::test_a_caller_that_goes_away_cancels_the_work"
+        f"{ATTEMPTS}::TestOutcome::test_disconnected_caller_cancels_the_attempt"
     ),
     ErrorKind.OUTCOME_UNKNOWN: (
         f"{ATTEMPTS}::TestOutcome::"
-        "test_a_granted_request_whose_owner_is_lost_is_unknown"
+        "test_lost_owner_with_permission_leaves_outcome_unknown"
     ),
     ErrorKind.ANSWER_CUT: (
-        f"{ATTEMPTS}::TestStream::test_a_stream_that_cannot_be_resumed_is_cut_truthfully"
+        f"{ATTEMPTS}::TestStream::test_stream_that_cannot_be_resumed_is_reported_as_cut"
     ),
     ErrorKind.PEER_UNREACHABLE: (
         "components/peers/test_link.py::TestPeers::"
