--- a/fescuekeel/components/engine/__init__.py
+++ b/fescuekeel/components/engine/__init__.py
@@ -1,4 +1,4 @@
-"""The engine component: the driver for model engines."""
+"""Engine component: the driver for inference engines."""
 
 from fescuekeel.components.engine.const import DOMAIN
 from fescuekeel.components.engine.driver import EngineDriver
@@ -10,7 +10,7 @@
 
 
 class EngineComponent:
-    """Hold nothing: the driver is registered when it is imported."""
+    """Component without state; importing the package registers the driver."""
 
     async def start(self) -> None:
         """Do nothing."""
--- a/fescuekeel/components/engine/const.py
+++ b/fescuekeel/components/engine/const.py
@@ -14,12 +14,12 @@
 
 JSON_HEADERS: Final = {"Content-Type": "application/json"}
 
-# A stream without a byte for this long is taken up on a new connection.
+# A stream that is idle for this long is resumed on a new connection.
 SILENCE_S: Final = 1.0
 MAX_SILENCE_S: Final = 8.0
-# An answer that is not streamed is silent until it is whole.
-WHOLE_ANSWER_FACTOR: Final = 4.0
-# Pause before a broken stream is taken up again, doubled at each failure.
+# A response that is not streamed is idle until it is complete.
+UNSTREAMED_SILENCE_FACTOR: Final = 4.0
+# Delay before a broken stream is resumed, doubled after each failure.
 RESUME_PAUSE_S: Final = 0.02
 RESUME_ATTEMPTS: Final = 4
 CANCEL_TIMEOUT_S: Final = 2.0
--- a/fescuekeel/components/engine/driver.py
+++ b/fescuekeel/components/engine/driver.py
@@ -1,4 +1,4 @@
-"""The driver for model engines."""
+"""Driver for inference engines."""
 
 import asyncio
 import contextlib
@@ -20,14 +20,14 @@
     RESUME_ATTEMPTS,
     RESUME_PAUSE_S,
     SILENCE_S,
-    WHOLE_ANSWER_FACTOR,
+    UNSTREAMED_SILENCE_FACTOR,
 )
-from fescuekeel.components.engine.events import EventStream, assemble
+from fescuekeel.components.engine.events import EventStream, assemble_body
 from fescuekeel.components.engine.leg import (
     STALE_FENCE,
-    StreamLeg,
-    cut,
-    read_refusal,
+    StreamConnection,
+    make_cut_outcome,
+    parse_refusal,
 )
 from fescuekeel.components.engine.model import (
     CacheEventsBody,
@@ -64,7 +64,7 @@
 
 
 class EngineDriver:
-    """Speak to one model engine."""
+    """HTTP client for one inference engine."""
 
     def __init__(self, instance: Instance, address: str) -> None:
         self.instance = instance
@@ -74,7 +74,7 @@
         self.silence_s = SILENCE_S
 
     async def dispatch(self, call: Call, on_chunk: OnChunk) -> Outcome:
-        """Hand over a request and wait for its end."""
+        """Hand over a request and wait until it ends."""
         try:
             if not call.stream:
                 return await self._complete(call, on_chunk)
@@ -83,15 +83,15 @@
             self.cancelled.discard(call.request_id)
 
     async def resume(self, call: Call, position: int, on_chunk: OnChunk) -> Outcome:
-        """Take up a stream that runs, from a token on."""
-        stream = EventStream(position, single=True)
+        """Resume a running stream from a token position on."""
+        stream = EventStream(position, one_token_per_chunk=True)
         try:
             return await self._stream(call, stream, on_chunk, resume=True)
         finally:
             self.cancelled.discard(call.request_id)
 
     async def cancel(self, request_id: str) -> None:
-        """Stop a request and free its connection."""
+        """Cancel a request and close its connection."""
         self.cancelled.add(request_id)
         body: dict[str, object] = {"request_id": request_id}
         with contextlib.suppress(ConnectError, BrokenError):
@@ -105,17 +105,21 @@
     async def load(
         self, adapter: AdapterRef, fence: int, timeout_s: float, guard: Guard
     ) -> OrderOutcome:
-        """Order a load and wait until it ended."""
-        return await self._order_adapter(PATH_LOAD, adapter, fence, timeout_s, guard)
+        """Load an adapter and wait until the load has ended."""
+        return await self._send_adapter_order(
+            PATH_LOAD, adapter, fence, timeout_s, guard
+        )
 
     async def evict(
         self, adapter: AdapterRef, fence: int, timeout_s: float, guard: Guard
     ) -> OrderOutcome:
-        """Order an eviction and wait until it ended."""
-        return await self._order_adapter(PATH_EVICT, adapter, fence, timeout_s, guard)
+        """Evict an adapter and wait until the eviction has ended."""
+        return await self._send_adapter_order(
+            PATH_EVICT, adapter, fence, timeout_s, guard
+        )
 
     async def report(self, timeout_s: float) -> Report | None:
-        """Return the engine's report, or ``None`` when it can't be had."""
+        """Return the engine's report, or ``None`` if it is unavailable."""
         response = await self._get(PATH_REPORT, timeout_s)
         if response is None or response.code != 200:
             return None
@@ -123,7 +127,7 @@
         return None if body is None else body.to_report()
 
     async def read_cache_hints(self, since: int, timeout_s: float) -> CacheHints:
-        """Return cache events from a number on."""
+        """Return the cache events from number ``since`` on."""
         response = await self._get(f"{PATH_CACHE_EVENTS}?since={since}", timeout_s)
         if response is None or response.code != 200:
             return CacheHints((), since)
@@ -131,41 +135,41 @@
         return CacheHints((), since) if body is None else body.to_hints()
 
     def close(self) -> None:
-        """Drop every connection."""
+        """Close all connections."""
         self.client.close()
 
     async def _complete(self, call: Call, on_chunk: OnChunk) -> Outcome:
-        """Run a request whose answer comes in one piece.
+        """Run a request whose response is not streamed.
 
-        Guards against an answer that is lost with its connection: the tokens
-        are then asked for as a stream, and put together here.
+        If the connection is lost, the tokens are fetched by resuming as a
+        stream, and the response is assembled here.
         """
         deadline = time.monotonic() + call.remaining_s
-        outcome = await self._ask_whole(call, on_chunk)
+        outcome = await self._fetch_whole(call, on_chunk)
         if outcome is not None:
             return outcome
         if call.request_id in self.cancelled:
             return CANCELLED
         remaining_s = deadline - time.monotonic()
         if remaining_s <= 0:
-            return Outcome.unknown("no answer in time")
+            return Outcome.unknown("no response before the deadline")
         self.instance.metrics.count(f"retry.{RetryReason.STREAM_RESUMED}")
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         outcome = await self._stream(
             replace(call, remaining_s=remaining_s),
             EventStream(),
-            lambda position, data, tokens: pieces.append(data if tokens else b""),
+            lambda position, data, tokens: chunks.append(data if tokens else b""),
             resume=True,
         )
         if outcome.failure is not None:
             return Outcome.unknown(outcome.failure.detail)
-        on_chunk(0, assemble(b"".join(pieces)), 1)
+        on_chunk(0, assemble_body(b"".join(chunks)), 1)
         return Outcome(content_type=JSON_TYPE)
 
-    async def _ask_whole(self, call: Call, on_chunk: OnChunk) -> Outcome | None:
+    async def _fetch_whole(self, call: Call, on_chunk: OnChunk) -> Outcome | None:
         path, body = compose_completion(call)
         exchange = Exchange(call.guard)
-        watch = SilenceWatch(exchange, self.silence_s * WHOLE_ANSWER_FACTOR)
+        watch = SilenceWatch(exchange, self.silence_s * UNSTREAMED_SILENCE_FACTOR)
         self.exchanges_by_request[call.request_id] = exchange
         watch.start()
         try:
@@ -185,43 +189,44 @@
             watch.stop()
             self.exchanges_by_request.pop(call.request_id, None)
         if response.code != 200:
-            return read_refusal(response.code, response.body)
+            return parse_refusal(response.code, response.body)
         on_chunk(0, response.body, 1)
         return Outcome(content_type=response.headers.get("Content-Type", JSON_TYPE))
 
     async def _stream(
         self, call: Call, stream: EventStream, on_chunk: OnChunk, resume: bool
     ) -> Outcome:
-        """Read a stream to its end over as many connections as it takes.
+        """Read a stream to its end, resuming on new connections as needed.
 
-        Guards against connections that break or go silent for good: what is
-        missing is asked for by position on a new one. The request itself is
-        sent once; ``resume`` never makes an engine run it again. A silence
-        may also mean that the request waits inside the engine, so that it is
-        not counted as a failure, and the next one is waited out longer.
+        Guards against connections that break or stay idle. The request is
+        sent once; resuming by position never makes the engine run it again.
+        An idle connection may also mean that the request is queued in the
+        engine, so it does not count as a failure but doubles the timeout.
         """
         deadline = time.monotonic() + call.remaining_s
         silence_s = self.silence_s
         failures = 0
         while True:
             position = stream.position
-            leg = StreamLeg(self, call, stream, on_chunk, deadline, silence_s)
-            outcome = await leg.run(resume)
+            connection = StreamConnection(
+                self, call, stream, on_chunk, deadline, silence_s
+            )
+            outcome = await connection.run(resume)
             if outcome is not None:
                 return outcome
             if call.request_id in self.cancelled:
                 return CANCELLED
             if stream.position > position:
                 failures, silence_s = 0, self.silence_s
-            elif leg.watch.silent:
+            elif connection.watch.silent:
                 silence_s = min(2 * silence_s, MAX_SILENCE_S)
             else:
                 failures += 1
             if failures > RESUME_ATTEMPTS or time.monotonic() >= deadline:
-                return cut(stream, leg.detail)
-            self._count_resume(leg.watch.silent)
+                return make_cut_outcome(stream, connection.detail)
+            self._count_resume(connection.watch.silent)
             await asyncio.sleep(RESUME_PAUSE_S * 2**failures)
-            stream.restart()
+            stream.reset()
             resume = True
 
     def _count_resume(self, silent: bool) -> None:
@@ -229,7 +234,7 @@
         if silent:
             self.instance.metrics.count("engine.silent_stream")
 
-    async def _order_adapter(
+    async def _send_adapter_order(
         self,
         path: str,
         adapter: AdapterRef,
--- a/fescuekeel/components/engine/events.py
+++ b/fescuekeel/components/engine/events.py
@@ -1,11 +1,11 @@
-"""Parser of an engine's event stream, which keeps positions in order."""
+"""Parser for an engine's event stream, ordered by token position."""
 
 import json
 from dataclasses import dataclass, field
 
 import orjson
 
-__all__ = ["END_MARK", "EventStream", "Piece", "assemble"]
+__all__ = ["END_MARK", "EventStream", "StreamChunk", "assemble_body"]
 
 EVENT_END = b"\n\n"
 END_MARK = b"data: [DONE]\n\n"
@@ -14,8 +14,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
-    """Whole events whose tokens follow each other from ``position`` on."""
+class StreamChunk:
+    """Complete events with consecutive tokens starting at ``position``."""
 
     position: int
     data: bytes
@@ -24,19 +24,19 @@
 
 @dataclass(slots=True)
 class EventStream:
-    r"""Cut bytes into events and put them into the order of positions.
+    r"""Split a byte stream into events and check their token positions.
 
-    Guards against a doubled or lost token when a stream is taken up again:
-    an event below ``position`` was delivered before and is dropped, and one
-    above it shows a gap, after which nothing more is taken from this
-    connection. ``done`` is set by the end mark only, so that a connection
-    that closes early is never taken for a whole answer. ``error`` is the
-    engine's word for a request that it ended early. With ``single`` each token
-    becomes a piece of its own, so that a receiver can join at any position.
+    Guards against duplicate or lost tokens when a stream is resumed: events
+    below ``position`` were already delivered and are dropped; one above it
+    sets ``gap``, after which the rest of the connection is ignored. Only the
+    end mark sets ``done``, so a connection that closes early never counts as
+    a complete response. ``error`` is the error that the engine reported for a
+    request that it aborted. With ``one_token_per_chunk``, a receiver can join
+    at any position.
 
     >>> stream = EventStream(position=1)
     >>> stream.feed(b'data: {"position": 0}\n\ndata: {"position": 1}\n\n')
-    [Piece(position=1, data=b'data: {"position": 1}\n\n', tokens=1)]
+    [StreamChunk(position=1, data=b'data: {"position": 1}\n\n', tokens=1)]
     >>> stream.feed(b"data: [DONE]\n\n")
     []
     >>> stream.position, stream.done
@@ -44,27 +44,31 @@
     """
 
     position: int = 0
-    single: bool = False
+    one_token_per_chunk: bool = False
     done: bool = False
     gap: bool = False
     error: str = ""
-    _rest: bytes = field(default=b"")
+    _buffer: bytes = field(default=b"")
 
-    def feed(self, data: bytes) -> list[Piece]:
-        """Take bytes in and return what is new."""
-        *events, self._rest = (self._rest + data).split(EVENT_END)
+    def feed(self, data: bytes) -> list[StreamChunk]:
+        """Parse received bytes and return the new chunks."""
+        *events, self._buffer = (self._buffer + data).split(EVENT_END)
         first = self.position
-        taken = [event + EVENT_END for event in events if self._take(event)]
-        if self.single:
-            return [Piece(first + at, event, 1) for at, event in enumerate(taken)]
-        return [Piece(first, b"".join(taken), len(taken))] if taken else []
-
-    def restart(self) -> None:
-        """Forget the half event of a connection that is gone."""
-        self._rest = b""
+        accepted = [event + EVENT_END for event in events if self._accept(event)]
+        if self.one_token_per_chunk:
+            return [
+                StreamChunk(first + at, event, 1) for at, event in enumerate(accepted)
+            ]
+        return (
+            [StreamChunk(first, b"".join(accepted), len(accepted))] if accepted else []
+        )
+
+    def reset(self) -> None:
+        """Discard the partial event of a closed connection."""
+        self._buffer = b""
         self.gap = False
 
-    def _take(self, event: bytes) -> bool:
+    def _accept(self, event: bytes) -> bool:
         if self.done or self.gap or not event.startswith(DATA_PREFIX):
             return False
         payload = event[len(DATA_PREFIX) :].strip()
@@ -93,11 +97,11 @@
         return position if isinstance(position, int) else None
 
 
-def assemble(data: bytes) -> bytes:
-    r"""Return the body of an answer that is not streamed from its events.
+def assemble_body(data: bytes) -> bytes:
+    r"""Build the body of a response that is not streamed from stream events.
 
     >>> event = b'data: {"id": "r", "choices": [{"text": "a"}]}\n\n'
-    >>> json.loads(assemble(event * 2))["choices"][0]["text"]
+    >>> json.loads(assemble_body(event * 2))["choices"][0]["text"]
     'aa'
     """
     events = [
--- a/fescuekeel/components/engine/leg.py
+++ b/fescuekeel/components/engine/leg.py
@@ -1,4 +1,4 @@
-"""One connection's part of an engine's stream."""
+"""One HTTP connection that reads part of an engine's stream."""
 
 import json
 import time
@@ -24,7 +24,7 @@
     SilenceWatch,
 )
 
-__all__ = ["EngineLink", "StreamLeg", "cut", "read_refusal"]
+__all__ = ["DriverContext", "StreamConnection", "make_cut_outcome", "parse_refusal"]
 
 EVENT_STREAM = "text/event-stream"
 NOT_LOADED = "not_loaded"
@@ -32,27 +32,27 @@
 FULL = "full"
 
 
-class EngineLink(Protocol):
-    """What a leg needs of its driver."""
+class DriverContext(Protocol):
+    """The parts of the driver that a connection uses."""
 
     instance: Instance
     client: EndpointClient
     exchanges_by_request: dict[str, Exchange]
 
 
-class StreamLeg:
-    """Read one connection's part of a stream."""
+class StreamConnection:
+    """Read a stream over one HTTP connection."""
 
     def __init__(
         self,
-        link: EngineLink,
+        driver: DriverContext,
         call: Call,
         stream: EventStream,
         on_chunk: OnChunk,
         deadline: float,
         silence_s: float,
     ) -> None:
-        self.link = link
+        self.driver = driver
         self.call = call
         self.stream = stream
         self.on_chunk = on_chunk
@@ -64,11 +64,11 @@
         self.watch = SilenceWatch(self.exchange, silence_s)
 
     async def run(self, resume: bool) -> Outcome | None:
-        """Return the outcome, or ``None`` when the stream must be resumed."""
+        """Return the outcome, or ``None`` if the stream has to be resumed."""
         request_id = self.call.request_id
-        # Reading on is no order: only the hand-over itself is guarded.
+        # A resume only reads, so the guard applies to the hand-over alone.
         self.exchange.guard = None if resume else self.call.guard
-        self.link.exchanges_by_request[request_id] = self.exchange
+        self.driver.exchanges_by_request[request_id] = self.exchange
         self.watch.start()
         try:
             response = await self._fetch(resume)
@@ -80,10 +80,10 @@
             return self._finish()
         finally:
             self.watch.stop()
-            self.link.exchanges_by_request.pop(request_id, None)
+            self.driver.exchanges_by_request.pop(request_id, None)
         if response.code != 200:
-            return self._read_refusal(response.code, resume)
-        self.detail = "the stream ended early"
+            return self._parse_refusal(response.code, resume)
+        self.detail = "stream closed before its end mark"
         return self._finish()
 
     async def _fetch(self, resume: bool) -> HTTPResponse:
@@ -95,7 +95,7 @@
                 "position": self.stream.position,
             }
             body = json.dumps(fields).encode()
-        return await self.link.client.fetch(
+        return await self.driver.client.fetch(
             "POST",
             path,
             body=body,
@@ -108,15 +108,14 @@
 
     def _finish(self) -> Outcome | None:
         if self.stream.error:
-            return cut(self.stream, self.stream.error)
+            return make_cut_outcome(self.stream, self.stream.error)
         return Outcome(content_type=EVENT_STREAM) if self.stream.done else None
 
-    def _read_refusal(self, status: int, resume: bool) -> Outcome:
+    def _parse_refusal(self, status: int, resume: bool) -> Outcome:
         if not resume:
-            return read_refusal(status, self.refusal)
-        # The engine answered a resume, not the request: what it refuses now
-        # says nothing about whether the request ran before.
-        return cut(self.stream, f"resume refused with {status}")
+            return parse_refusal(status, self.refusal)
+        # The engine rejected the resume, not the request, which may have run.
+        return make_cut_outcome(self.stream, f"resume rejected with status {status}")
 
     def _receive_header(self, line: str) -> None:
         self.watch.hear()
@@ -130,16 +129,16 @@
             return
         if self.stream.done:
             return
-        for piece in self.stream.feed(data):
-            self.on_chunk(piece.position, piece.data, piece.tokens)
+        for chunk in self.stream.feed(data):
+            self.on_chunk(chunk.position, chunk.data, chunk.tokens)
         if self.stream.done:
             self.on_chunk(self.stream.position, END_MARK, 0)
         if self.stream.done or self.stream.gap:
             self.exchange.close()
 
 
-def read_refusal(status: int, content: bytes) -> Outcome:
-    """Tell explicit refusals, which mean "not run", from other errors."""
+def parse_refusal(status: int, content: bytes) -> Outcome:
+    """Distinguish explicit rejections ("not run") from other errors."""
     body = parse_body(ErrorBody, content) or ErrorBody()
     if status == 404 and body.error == NOT_LOADED:
         return Outcome.refused(body.error, loaded=False)
@@ -150,8 +149,8 @@
     return Outcome.unknown(f"status {status} {body.error}".strip())
 
 
-def cut(stream: EventStream, detail: str) -> Outcome:
-    """Return the outcome of a stream that can't be taken up again."""
+def make_cut_outcome(stream: EventStream, detail: str) -> Outcome:
+    """Return the outcome of a stream that cannot be resumed."""
     if stream.position == 0:
         return Outcome.unknown(detail)
     return Outcome(Failure(ErrorKind.ANSWER_CUT, detail), 502)
--- a/fescuekeel/components/engine/model.py
+++ b/fescuekeel/components/engine/model.py
@@ -1,4 +1,4 @@
-"""What engines answer, validated."""
+"""Schemas of engine requests and responses."""
 
 import json
 from typing import TypeVar
@@ -30,33 +30,33 @@
 
 
 class Body(BaseModel):
-    """Validate one JSON body; keys that are not known are ignored."""
+    """Base schema of a JSON body; unknown keys are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
 class ErrorBody(Body):
-    """An engine's refusal."""
+    """Error response of an engine."""
 
     error: str = ""
     fence: int = 0
 
 
 class LoadBody(Body):
-    """The answer to a load; ``took_ms`` in milliseconds."""
+    """Response to an adapter load."""
 
     took_ms: float = 0.0
 
 
 class RunningBody(Body):
-    """One request that runs on the engine."""
+    """One request that is running on the engine."""
 
     request_id: str
     model: str = ""
 
 
 class ReportBody(Body):
-    """An engine's report of itself."""
+    """Status report of an engine."""
 
     boot_id: str
     fence: int = 0
@@ -71,7 +71,7 @@
     leaving: bool = False
 
     def to_report(self) -> Report:
-        """Return the report as the rest of the system knows it."""
+        """Convert to the driver-independent report."""
         return Report(
             boot_id=self.boot_id,
             fence=self.fence,
@@ -99,13 +99,13 @@
 
 
 class CacheEventsBody(Body):
-    """The cache events from some number on."""
+    """Cache events, and the number to continue from."""
 
     events: tuple[CacheEventBody, ...] = ()
     next: int = 0
 
     def to_hints(self) -> CacheHints:
-        """Return the events as hints."""
+        """Convert to driver-independent cache hints."""
         hints = tuple(
             CacheHint(event.prefix, event.kind == "stored") for event in self.events
         )
@@ -123,7 +123,7 @@
 
 
 def parse_body(kind: type[B], content: bytes) -> B | None:
-    """Parse a JSON body, or return ``None`` when it is not as it should be."""
+    """Parse a JSON body, or return ``None`` if it is invalid."""
     try:
         return kind.model_validate_json(content)
     except ValidationError:
@@ -131,9 +131,9 @@
 
 
 def compose_completion(call: Call) -> tuple[str, bytes]:
-    """Return path and body of a completion.
+    """Return the path and body of a completion request to the engine.
 
-    The caller's JSON is passed on with the fields that the system decides.
+    Fields that the serving layer controls override those of the caller.
 
     >>> ref = AdapterRef("a", "2")
     >>> call = Call("r1", ref, 0, 1.0, True, "", b"{}", fence=9)
--- a/tests/components/engine/test_driver.py
+++ b/tests/components/engine/test_driver.py
@@ -24,8 +24,8 @@
 
 
 @dataclass
-class Bed:
-    """One engine, one driver, and what the driver delivered."""
+class EngineHarness:
+    """One engine, one driver, and the chunks that the driver delivered."""
 
     engine: Engine
     server: Server
@@ -45,7 +45,8 @@
 
 
 def run(
-    story: Callable[[Bed], Awaitable[None]], settings: EngineSettings | None = None
+    scenario: Callable[[EngineHarness], Awaitable[None]],
+    settings: EngineSettings | None = None,
 ) -> None:
     async def main() -> None:
         engine, server = await start_engine(settings or EngineSettings(step_ms=2))
@@ -54,7 +55,7 @@
         driver.silence_s = 0.1
         try:
             async with asyncio.timeout(20):
-                await story(Bed(engine, server, driver))
+                await scenario(EngineHarness(engine, server, driver))
         finally:
             driver.close()
             engine.stop()
@@ -84,203 +85,198 @@
 
 
 class TestDispatch:
-    def test_stream_is_whole_and_in_order(self) -> None:
-        async def story(bed: Bed) -> None:
-            outcome = await bed.driver.dispatch(make_call(), bed.on_chunk)
+    def test_stream_is_complete_and_in_order(self) -> None:
+        async def scenario(harness: EngineHarness) -> None:
+            outcome = await harness.driver.dispatch(make_call(), harness.on_chunk)
             assert outcome.failure is None
-            assert bed.texts() == expected_texts()
+            assert harness.texts() == expected_texts()
 
-        run(story)
+        run(scenario)
 
-    def test_whole_answer_is_passed_on(self) -> None:
-        async def story(bed: Bed) -> None:
-            outcome = await bed.driver.dispatch(make_call(stream=False), bed.on_chunk)
+    def test_unstreamed_response_is_relayed(self) -> None:
+        async def scenario(harness: EngineHarness) -> None:
+            outcome = await harness.driver.dispatch(
+                make_call(stream=False), harness.on_chunk
+            )
             assert outcome.failure is None
-            ((position, data, _),) = bed.chunks
+            ((position, data, _),) = harness.chunks
             assert position == 0
             text = json.loads(data)["choices"][0]["text"]
             assert text == "".join(expected_texts())
 
-        run(story)
+        run(scenario)
 
-    def test_explicit_refusals_mean_not_run(self) -> None:
-        async def story(bed: Bed) -> None:
-            bed.engine.settings.fenced = True
-            first = await bed.driver.dispatch(make_call(fence=9), bed.on_chunk)
+    def test_explicit_rejections_mean_not_run(self) -> None:
+        async def scenario(harness: EngineHarness) -> None:
+            harness.engine.settings.fenced = True
+            first = await harness.driver.dispatch(make_call(fence=9), harness.on_chunk)
             assert first.failure is None
-            stale = await bed.driver.dispatch(make_call("r2", fence=8), bed.on_chunk)
+            stale = await harness.driver.dispatch(
+                make_call("r2", fence=8), harness.on_chunk
+            )
             assert (stale.ran, stale.stale_fence) == (Ran.NO, 9)
-            bed.engine.loaded.clear()
-            missing = await bed.driver.dispatch(make_call("r3"), bed.on_chunk)
+            harness.engine.loaded.clear()
+            missing = await harness.driver.dispatch(make_call("r3"), harness.on_chunk)
             assert (missing.ran, missing.loaded) == (Ran.NO, False)
-            bed.engine.loaded[str(CUPS)] = None
-            bed.engine.settings.max_running = 0
-            bed.engine.settings.max_waiting = 0
-            full = await bed.driver.dispatch(make_call("r4"), bed.on_chunk)
+            harness.engine.loaded[str(CUPS)] = None
+            harness.engine.settings.max_running = 0
+            harness.engine.settings.max_waiting = 0
+            full = await harness.driver.dispatch(make_call("r4"), harness.on_chunk)
             assert (full.ran, full.loaded) == (Ran.NO, True)
-            assert [run.request_id for run in bed.engine.runs] == ["r1"]
+            assert [run.request_id for run in harness.engine.runs] == ["r1"]
 
-        run(story)
+        run(scenario)
 
 
 class TestConnections:
-    def test_no_connection_means_not_run(self) -> None:
-        async def story(bed: Bed) -> None:
-            await bed.server.stop()
-            outcome = await bed.driver.dispatch(make_call(), bed.on_chunk)
+    def test_failed_connect_means_not_run(self) -> None:
+        async def scenario(harness: EngineHarness) -> None:
+            await harness.server.stop()
+            outcome = await harness.driver.dispatch(make_call(), harness.on_chunk)
             assert outcome.ran is Ran.NO
 
-        run(story)
+        run(scenario)
 
-    def test_closed_before_answer_is_unknown(self) -> None:
-        """A charge is sent, the connection closes before any answer.
-
-        The engine may have taken the request in, so "not run" would be a
-        guess: the caller must hear that the outcome is unknown.
-        """
+    def test_connection_closed_before_response_is_unknown(self) -> None:
+        """Guards against "not run" for a request that may have run."""
 
-        async def story(bed: Bed) -> None:
-            bed.engine.misbehaviour.down = True
+        async def scenario(harness: EngineHarness) -> None:
+            harness.engine.misbehaviour.down = True
             for stream in (True, False):
                 call = make_call(stream=stream)
-                outcome = await bed.driver.dispatch(call, bed.on_chunk)
+                outcome = await harness.driver.dispatch(call, harness.on_chunk)
                 assert outcome.ran is Ran.UNKNOWN
 
-        run(story)
+        run(scenario)
 
     def test_silent_stream_is_resumed(self) -> None:
-        """Half-way through a script, its connection goes silent for good.
+        """Guards against a connection that hangs while the engine continues.
 
-        The engine goes on and new connections work. The performer must get
-        every token once, without waiting for the deadline.
+        Every token must arrive once, without waiting for the deadline.
         """
 
-        async def story(bed: Bed) -> None:
-            bed.engine.settings.silent_streams = 2
-            bed.engine.settings.silent_after = 3
-            outcome = await bed.driver.dispatch(make_call(), bed.on_chunk)
+        async def scenario(harness: EngineHarness) -> None:
+            harness.engine.settings.silent_streams = 2
+            harness.engine.settings.silent_after = 3
+            outcome = await harness.driver.dispatch(make_call(), harness.on_chunk)
             assert outcome.failure is None
-            assert bed.texts() == expected_texts()
-            assert len(bed.engine.runs) == 1
-            counters = bed.driver.instance.metrics.counters_by_name
+            assert harness.texts() == expected_texts()
+            assert len(harness.engine.runs) == 1
+            counters = harness.driver.instance.metrics.counters_by_name
             assert counters["engine.silent_stream"] == 2
 
-        run(story)
+        run(scenario)
 
-    def test_whole_answer_lost_with_its_connection_is_recovered(self) -> None:
-        """A script is written to its end, but its connection went silent.
+    def test_unstreamed_response_on_a_hung_connection_is_recovered(self) -> None:
+        """Guards against running a request again whose tokens still exist."""
 
-        Running it again would cost its time twice; the engine still keeps the
-        tokens, so that the answer is put together from these.
-        """
-
-        async def story(bed: Bed) -> None:
-            bed.engine.misbehaviour.mute = 1
-            outcome = await bed.driver.dispatch(make_call(stream=False), bed.on_chunk)
+        async def scenario(harness: EngineHarness) -> None:
+            harness.engine.misbehaviour.mute = 1
+            outcome = await harness.driver.dispatch(
+                make_call(stream=False), harness.on_chunk
+            )
             assert outcome.failure is None
-            text = json.loads(bed.chunks[0][1])["choices"][0]["text"]
+            text = json.loads(harness.chunks[0][1])["choices"][0]["text"]
             assert text == "".join(expected_texts())
-            assert len(bed.engine.runs) == 1
+            assert len(harness.engine.runs) == 1
 
-        run(story)
+        run(scenario)
 
-    def test_long_wait_inside_the_engine_is_no_failure(self) -> None:
-        async def story(bed: Bed) -> None:
-            bed.engine.settings.max_running = 1
+    def test_queueing_inside_the_engine_is_not_a_failure(self) -> None:
+        async def scenario(harness: EngineHarness) -> None:
+            harness.engine.settings.max_running = 1
             long_call = make_call("r1", max_tokens=500)
             ahead = asyncio.create_task(
-                bed.driver.dispatch(long_call, lambda position, data, tokens: None)
+                harness.driver.dispatch(long_call, lambda position, data, tokens: None)
             )
-            await eventually(lambda: bed.engine.running)
-            outcome = await bed.driver.dispatch(make_call("r2"), bed.on_chunk)
+            await eventually(lambda: harness.engine.running)
+            outcome = await harness.driver.dispatch(make_call("r2"), harness.on_chunk)
             assert outcome.failure is None
-            assert bed.texts() == expected_texts()
+            assert harness.texts() == expected_texts()
             assert (await ahead).failure is None
 
-        run(story)
+        run(scenario)
 
-    def test_cold_restart_cuts_what_ran(self) -> None:
-        """An engine restarts in mid-answer and forgets everything.
+    def test_engine_restart_cuts_a_running_stream(self) -> None:
+        """Guards against reporting a partial response as complete.
 
-        The driver resumes, hears that the request is unknown, and must not
-        pass the half answer off as a whole one.
+        After the restart the engine does not know the request.
         """
 
-        async def story(bed: Bed) -> None:
+        async def scenario(harness: EngineHarness) -> None:
             call = make_call(max_tokens=5000)
-            task = asyncio.create_task(bed.driver.dispatch(call, bed.on_chunk))
-            await eventually(lambda: bed.chunks)
-            bed.engine.restart()
+            task = asyncio.create_task(harness.driver.dispatch(call, harness.on_chunk))
+            await eventually(lambda: harness.chunks)
+            harness.engine.restart()
             outcome = await task
             assert outcome.failure is not None
             assert outcome.failure.kind is ErrorKind.ANSWER_CUT
 
-        run(story)
+        run(scenario)
 
 
 class TestCancel:
-    def test_cancelled_stream_stops_the_engine(self) -> None:
-        async def story(bed: Bed) -> None:
+    def test_cancelled_request_stops_on_the_engine(self) -> None:
+        async def scenario(harness: EngineHarness) -> None:
             call = make_call(max_tokens=5000)
-            task = asyncio.create_task(bed.driver.dispatch(call, bed.on_chunk))
-            await eventually(lambda: bed.chunks)
-            await bed.driver.cancel("r1")
+            task = asyncio.create_task(harness.driver.dispatch(call, harness.on_chunk))
+            await eventually(lambda: harness.chunks)
+            await harness.driver.cancel("r1")
             outcome = await task
             assert outcome.failure is not None
-            assert not bed.engine.running
-            assert not bed.driver.client.exchanges
-            assert not bed.driver.cancelled
+            assert not harness.engine.running
+            assert not harness.driver.client.exchanges
+            assert not harness.driver.cancelled
 
-        run(story)
+        run(scenario)
 
 
 class TestOrders:
     def test_load_evict_and_report(self) -> None:
-        async def story(bed: Bed) -> None:
+        async def scenario(harness: EngineHarness) -> None:
             other = AdapterRef("coins", "1")
-            loaded = await bed.driver.load(other, 5, 5.0, always)
+            loaded = await harness.driver.load(other, 5, 5.0, always)
             assert loaded.ok
-            report = await bed.driver.report(1.0)
+            report = await harness.driver.report(1.0)
             assert report is not None
             assert report.loaded == {CUPS, other}
-            evicted = await bed.driver.evict(other, 5, 5.0, always)
+            evicted = await harness.driver.evict(other, 5, 5.0, always)
             assert evicted.ok
-            assert list(bed.engine.loaded) == [str(CUPS)]
+            assert list(harness.engine.loaded) == [str(CUPS)]
 
-        run(story, EngineSettings(step_ms=2, load_s=0.01, report_lag_s=0))
+        run(scenario, EngineSettings(step_ms=2, load_s=0.01, report_lag_s=0))
 
-    def test_guard_is_asked_when_the_connection_stands(self) -> None:
-        """An owner is paused while it connects, and wakes up too late.
+    def test_guard_is_checked_once_the_connection_is_open(self) -> None:
+        """Guards against an owner that is paused while it connects.
 
-        By then another owner serves from the adapter. The order must not be
-        written on the connection that was asked for in time.
+        Its lease may have expired, so it must not send the order.
         """
 
-        async def story(bed: Bed) -> None:
-            evicted = await bed.driver.evict(CUPS, 5, 5.0, lambda: False)
+        async def scenario(harness: EngineHarness) -> None:
+            evicted = await harness.driver.evict(CUPS, 5, 5.0, lambda: False)
             assert not evicted.ok
             call = replace(make_call(), guard=lambda: False)
-            outcome = await bed.driver.dispatch(call, bed.on_chunk)
+            outcome = await harness.driver.dispatch(call, harness.on_chunk)
             assert outcome.ran is Ran.NO
-            assert not bed.engine.runs
-            assert not bed.engine.orders
+            assert not harness.engine.runs
+            assert not harness.engine.orders
 
-        run(story)
+        run(scenario)
 
-    def test_failed_load_and_stale_fence(self) -> None:
-        async def story(bed: Bed) -> None:
+    def test_failed_load_and_stale_fencing_token(self) -> None:
+        async def scenario(harness: EngineHarness) -> None:
             other = AdapterRef("coins", "1")
-            bed.engine.settings.fail_loads = 1
-            failed = await bed.driver.load(other, 5, 5.0, always)
+            harness.engine.settings.fail_loads = 1
+            failed = await harness.driver.load(other, 5, 5.0, always)
             assert (failed.ok, failed.stale_fence) == (False, 0)
-            stale = await bed.driver.load(other, 4, 5.0, always)
+            stale = await harness.driver.load(other, 4, 5.0, always)
             assert (stale.ok, stale.stale_fence) == (False, 5)
 
-        run(story, EngineSettings(step_ms=2, load_s=0.01, fenced=True))
+        run(scenario, EngineSettings(step_ms=2, load_s=0.01, fenced=True))
 
     def test_unreachable_engine_has_no_report(self) -> None:
-        async def story(bed: Bed) -> None:
-            bed.engine.misbehaviour.down = True
-            assert await bed.driver.report(0.5) is None
+        async def scenario(harness: EngineHarness) -> None:
+            harness.engine.misbehaviour.down = True
+            assert await harness.driver.report(0.5) is None
 
-        run(story)
+        run(scenario)
