--- a/bench/capacity/decisions.py
+++ b/bench/capacity/decisions.py
@@ -16,7 +16,7 @@
 )
 from bench.capacity.fleet import make_live, make_live_body, make_view
 from bench.capacity.timing import Line, fit, time_call
-from fescuekeel.components.gateway.ranks import RankingCache
+from fescuekeel.components.gateway.ranking_cache import RankingCache
 from fescuekeel.components.gateway.routing import Hints, choose
 from fescuekeel.components.keys.ledger import Ledger
 from fescuekeel.components.livelist.parse import parse_live_list
--- a/fescuekeel/components/gateway/router.py
+++ b/fescuekeel/components/gateway/router.py
@@ -2,7 +2,7 @@
 
 from fescuekeel.components.gateway.admission import Admission
 from fescuekeel.components.gateway.limits import Limits
-from fescuekeel.components.gateway.ranks import RankingCache
+from fescuekeel.components.gateway.ranking_cache import RankingCache
 from fescuekeel.components.gateway.request import Placement
 from fescuekeel.components.gateway.routing import Hints, choose
 from fescuekeel.core import Instance
--- a/tests/components/gateway/test_ranks.py
+++ b/tests/components/gateway/test_ranking_cache.py
@@ -1,6 +1,9 @@
 """Tests of the cache of endpoint rankings."""
 
-from fescuekeel.components.gateway.ranks import MAX_CACHED_RANKINGS, RankingCache
+from fescuekeel.components.gateway.ranking_cache import (
+    MAX_CACHED_RANKINGS,
+    RankingCache,
+)
 from fescuekeel.components.gateway.routing import rank_alive
 from fescuekeel.messages import AdapterRef, LiveEntry, LiveRole, Member
 
