--- a/fescuekeel/components/gateway/attempts.py
+++ b/fescuekeel/components/gateway/attempts.py
@@ -15,7 +15,7 @@
 
 from dataclasses import dataclass, field
 
-from fescuekeel.components.gateway.life import (
+from fescuekeel.components.gateway.request_events import (
     Accepted,
     Admitted,
     AnswerStart,
--- a/fescuekeel/components/gateway/component.py
+++ b/fescuekeel/components/gateway/component.py
@@ -7,9 +7,12 @@
 from fescuekeel.components.gateway.admission import Admission
 from fescuekeel.components.gateway.attempts import RequestStateMachine
 from fescuekeel.components.gateway.const import DRAIN_POLL_S, IDEMPOTENCY_KEY_TTL_S
-from fescuekeel.components.gateway.life import CallerDisconnected, ShutdownTimedOut
 from fescuekeel.components.gateway.limits import Limits
 from fescuekeel.components.gateway.request import CallerRequest
+from fescuekeel.components.gateway.request_events import (
+    CallerDisconnected,
+    ShutdownTimedOut,
+)
 from fescuekeel.components.gateway.router import GatewayRouter
 from fescuekeel.components.gateway.server import CallersServer
 from fescuekeel.components.gateway.sink import CallerSink
--- a/fescuekeel/components/gateway/request.py
+++ b/fescuekeel/components/gateway/request.py
@@ -15,7 +15,7 @@
     RequestStateMachine,
 )
 from fescuekeel.components.gateway.const import SUBMIT_TIMEOUT_S
-from fescuekeel.components.gateway.life import (
+from fescuekeel.components.gateway.request_events import (
     Accepted,
     Admitted,
     AnswerStart,
--- a/tests/components/gateway/test_attempts.py
+++ b/tests/components/gateway/test_attempts.py
@@ -4,7 +4,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from fescuekeel.components.gateway.attempts import MAX_ATTEMPTS, RequestStateMachine
-from fescuekeel.components.gateway.life import (
+from fescuekeel.components.gateway.request_events import (
     Accepted,
     Admitted,
     AnswerStart,
