--- a/fescuekeel/components/gateway/admission.py
+++ b/fescuekeel/components/gateway/admission.py
@@ -5,7 +5,7 @@
 import xxhash
 from returns.result import Failure as Err, Result, Success
 
-from fescuekeel.components.gateway.border import (
+from fescuekeel.components.gateway.schemas import (
     check_idempotency_key,
     parse_completion,
     parse_model,
--- a/fescuekeel/components/gateway/server.py
+++ b/fescuekeel/components/gateway/server.py
@@ -17,7 +17,6 @@
     admit_plain,
     get_intent,
 )
-from fescuekeel.components.gateway.border import clean_request_id
 from fescuekeel.components.gateway.const import (
     CALLER_BODY_TIMEOUT_S,
     CALLER_IDLE_TIMEOUT_S,
@@ -25,6 +24,7 @@
     JSON_CONTENT_TYPE,
     SERVICES_PREFIX,
 )
+from fescuekeel.components.gateway.schemas import clean_request_id
 from fescuekeel.components.gateway.sink import HandlerSink
 from fescuekeel.const import (
     HEADER_IDEMPOTENCY_KEY,
--- a/fescuekeel/components/gateway/sink.py
+++ b/fescuekeel/components/gateway/sink.py
@@ -7,7 +7,6 @@
 from tornado.iostream import StreamClosedError
 from tornado.web import RequestHandler
 
-from fescuekeel.components.gateway.border import to_error_body
 from fescuekeel.components.gateway.const import (
     CALLER_WRITE_TIMEOUT_S,
     HEADER_QUEUE_MS,
@@ -16,6 +15,7 @@
     MAX_ANSWER_BYTES,
     STREAM_CONTENT_TYPE,
 )
+from fescuekeel.components.gateway.schemas import to_error_body
 from fescuekeel.const import HEADER_RAN, HEADER_RETRY_AFTER
 from fescuekeel.errors import Failure
 
