--- a/fescuekeel/components/engine/driver.py
+++ b/fescuekeel/components/engine/driver.py
@@ -23,12 +23,6 @@
     UNSTREAMED_SILENCE_FACTOR,
 )
 from fescuekeel.components.engine.events import EventStream, assemble_body
-from fescuekeel.components.engine.leg import (
-    STALE_FENCE,
-    StreamConnection,
-    make_cut_outcome,
-    parse_refusal,
-)
 from fescuekeel.components.engine.model import (
     CacheEventsBody,
     ErrorBody,
@@ -37,6 +31,12 @@
     compose_completion,
     parse_body,
 )
+from fescuekeel.components.engine.stream_connection import (
+    STALE_FENCE,
+    StreamConnection,
+    make_cut_outcome,
+    parse_refusal,
+)
 from fescuekeel.core import Instance
 from fescuekeel.errors import ErrorKind, Failure, Ran, RetryReason
 from fescuekeel.helpers.driver import (
