--- a/fescuekeel/components/gateway/request.py
+++ b/fescuekeel/components/gateway/request.py
@@ -166,10 +166,10 @@
     async def run(self) -> Failure | None:
         """Run the request to completion; return its failure, if any."""
         loop = asyncio.get_running_loop()
-        left = self.state_machine.deadline - self.instance.now()
+        remaining_s = self.state_machine.deadline - self.instance.now()
         timers = [
-            loop.call_later(left + OWNER_REPLY_GRACE_S, self.post, TimerFired()),
-            loop.call_later(left + RUNNING_GRACE_S, self.post, TimerFired()),
+            loop.call_later(remaining_s + OWNER_REPLY_GRACE_S, self.post, TimerFired()),
+            loop.call_later(remaining_s + RUNNING_GRACE_S, self.post, TimerFired()),
         ]
         self.post(Admitted())
         try:
