--- a/tests/components/gateway/test_ranking_cache.py
+++ b/tests/components/gateway/test_ranking_cache.py
@@ -21,27 +21,27 @@
 class TestRankingCache:
     def test_changed_view_invalidates_the_rankings(self):
         """Guards against routing to an endpoint that has left the view."""
-        cache = RankingCache()
+        rankings = RankingCache()
         before, after = make_endpoints("e1", "e2", "e3"), make_endpoints("e1", "e2")
         for endpoints in (before, before, after, before):
-            got = cache.get("script", REF, endpoints, MEMBERS)
+            got = rankings.get("script", REF, endpoints, MEMBERS)
             assert got == rank_alive("script", REF, endpoints, MEMBERS)
 
     def test_endpoints_of_lost_data_centres_rank_last(self):
-        cache = RankingCache()
+        rankings = RankingCache()
         endpoints = make_endpoints("e1", "e2")
         endpoints["far"] = LiveEntry(
             "far", LiveRole.ENDPOINT, "", "dc2", 1, pool="script"
         )
         far = {**MEMBERS, "i2": Member("i2", "", "dc2", 1)}
         for adapter in (AdapterRef(str(number), "1") for number in range(20)):
-            ranked = cache.get("script", adapter, endpoints, far)
+            ranked = rankings.get("script", adapter, endpoints, far)
             assert sorted(ranked) == ["e1", "e2", "far"]
-            assert cache.get("script", adapter, endpoints, MEMBERS)[-1] == "far"
+            assert rankings.get("script", adapter, endpoints, MEMBERS)[-1] == "far"
 
     def test_cache_size_is_bounded(self):
-        cache = RankingCache()
+        rankings = RankingCache()
         endpoints = make_endpoints("e1")
         for number in range(MAX_CACHED_RANKINGS + 10):
-            cache.get("script", AdapterRef(str(number), "1"), endpoints, MEMBERS)
-        assert len(cache._rankings_by_key) == MAX_CACHED_RANKINGS
+            rankings.get("script", AdapterRef(str(number), "1"), endpoints, MEMBERS)
+        assert len(rankings._rankings_by_key) == MAX_CACHED_RANKINGS
