--- a/fescuekeel/components/gateway/limits.py
+++ b/fescuekeel/components/gateway/limits.py
@@ -117,7 +117,7 @@
         share = max(1, self.instances)
         allowed = math.ceil(limit.max_in_flight / share)
         if limit.max_in_flight and state.in_flight >= allowed:
-            detail = f"{limit.scope}: limit of {allowed} requests in flight"
+            detail = f"{limit.scope}: at most {allowed} requests in flight per instance"
             return Failure(
                 ErrorKind.RATE_LIMITED, detail, retry_after_s=IN_FLIGHT_RETRY_AFTER_S
             )
