--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -249,7 +249,7 @@
         self.platform.store.refuse = 0
 
     async def _forget_at_store(self, fault: Fault) -> None:
-        self.platform.store.forget_history()
+        self.platform.store.compact_history()
 
     async def _misbehave(self, fault: Fault) -> None:
         names = {
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform: engine, plain service, stores and lists."""
+"""Stand-ins for outside systems: engines, services, stores and lists."""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -18,7 +18,7 @@
 
 
 def describe(platform: Platform, tree: Tree) -> dict[str, Any]:
-    """Return where everything listens, for the port file."""
+    """Return the URLs of all stand-ins, for the port file."""
     pools = tree.intent.pools_by_name
     return {
         "data_centres": list(platform.data_centres),
@@ -39,7 +39,7 @@
 
 
 async def run(names: list[str], port_file: Path, trees: Path, centres: int) -> None:
-    """Start everything, write the port file, wait for a signal."""
+    """Start the stand-ins, write the port file and wait for a signal."""
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stopping.set)
@@ -74,7 +74,7 @@
 
 
 def main() -> None:
-    """Read the command line."""
+    """Run the command line interface."""
     fire.Fire(start, name="standins")
 
 
--- a/standins/config_service.py
+++ b/standins/config_service.py
@@ -1,4 +1,4 @@
-"""A stand-in of the configuration service."""
+"""Stand-in for the configuration service."""
 
 import asyncio
 import hashlib
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from standins.server import Misbehaviour, Server, StandInHandler
+from standins.server import ConnectionFaults, Server, StandInHandler
 
 __all__ = ["ConfigService", "format_manifest", "start_config_service"]
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """A value as of a change; no content means that it was removed."""
+    """A value as of a change number; ``None`` content means removed."""
 
     change: int
     content: bytes | None
@@ -37,10 +37,10 @@
 
 
 class ConfigService:
-    """Keep values with change numbers; show an older state when stale."""
+    """Store values with change numbers; serve an older state when stale."""
 
     def __init__(self) -> None:
-        self.misbehaviour = Misbehaviour()
+        self.connection_faults = ConnectionFaults()
         self.versions_by_key: dict[str, list[Version]] = {}
         self.change = 0
         self.stale_at: int | None = None
@@ -50,26 +50,27 @@
         self.published: list[int] = []
         self._changed = asyncio.Event()
 
-    def control(self, orders: dict[str, Any]) -> None:
-        """Take ``stale``, ``stale_at``, ``stale_share`` and ``publish``.
+    def control(self, commands: dict[str, Any]) -> None:
+        """Apply ``stale``, ``stale_at``, ``stale_share`` and ``publish``.
 
-        ``stale`` freezes the present state, ``stale_at`` shows the state as
+        ``stale`` freezes the current state, ``stale_at`` serves the state as
         of a change number, null ends both. ``stale_share`` is the share of
-        the calls that see it. ``publish`` is ``{"revision", "parts"}``.
+        calls that get the stale state. ``publish`` is
+        ``{"revision", "parts"}``.
         """
-        if "stale" in orders:
-            self.stale_at = self.change if orders["stale"] else None
-        if "stale_at" in orders:
-            self.stale_at = orders["stale_at"]
-        self.stale_share = float(orders.get("stale_share", self.stale_share))
-        if "publish" in orders:
-            parts = orders["publish"]["parts"]
+        if "stale" in commands:
+            self.stale_at = self.change if commands["stale"] else None
+        if "stale_at" in commands:
+            self.stale_at = commands["stale_at"]
+        self.stale_share = float(commands.get("stale_share", self.stale_share))
+        if "publish" in commands:
+            parts = commands["publish"]["parts"]
             encoded = {name: text.encode() for name, text in parts.items()}
-            self.publish(int(orders["publish"]["revision"]), encoded)
+            self.publish(int(commands["publish"]["revision"]), encoded)
         self._wake()
 
     def journal(self) -> dict[str, Any]:
-        """Return the calls counted and the revisions published."""
+        """Return the call counts and the published revisions."""
         return {
             "calls": self.calls,
             "calls_by_kind": dict(self.calls_by_kind),
@@ -80,7 +81,7 @@
     def publish(self, revision: int, parts: dict[str, bytes]) -> int:
         """Publish a tree, its manifest last; return the change number.
 
-        The parts of the last revision but one are removed.
+        The parts of the revision before the previous one are removed.
         """
         if len(self.published) >= 2:
             self._remove_revision(self.published[-2])
@@ -93,16 +94,16 @@
     def put(self, key: str, content: bytes | None) -> None:
         """Set or remove one value."""
         if content is not None and len(content) > MAX_VALUE_BYTES:
-            raise ValueError(f"the value of {key} is above the limit")
+            raise ValueError(f"the value of {key} exceeds the size limit")
         self.change += 1
         versions = self.versions_by_key.setdefault(key, [])
         versions.append(Version(self.change, content))
         self._wake()
 
     def read(self, key: str) -> Version | None:
-        """Return what one call sees of a value."""
+        """Return a value as one call sees it: current or stale."""
         bound = self.change
-        if self.stale_at is not None and self._sees_stale():
+        if self.stale_at is not None and self._reads_stale_value():
             bound = self.stale_at
         for version in reversed(self.versions_by_key.get(key, [])):
             if version.change <= bound:
@@ -110,7 +111,10 @@
         return None
 
     async def watch(self, key: str, after: int, wait_s: float) -> Version | None:
-        """Return the value once its change number is above ``after``."""
+        """Return the value once its change number exceeds ``after``.
+
+        ``None`` is returned after ``wait_s``.
+        """
         try:
             async with asyncio.timeout(min(wait_s, MAX_WAIT_S)):
                 while True:
@@ -123,7 +127,7 @@
             return None
 
     def count(self, kind: str) -> None:
-        """Count one call."""
+        """Count a call of a kind."""
         self.calls += 1
         self.calls_by_kind[kind] += 1
 
@@ -132,7 +136,7 @@
             if key.startswith(f"tree/{revision}/"):
                 self.put(key, None)
 
-    def _sees_stale(self) -> bool:
+    def _reads_stale_value(self) -> bool:
         return self.calls * 37 % STALE_STEPS < self.stale_share * STALE_STEPS
 
     def _wake(self) -> None:
@@ -146,17 +150,17 @@
     standin: ConfigService
 
     async def get(self, key: str) -> None:
-        """Answer with the value and its change number."""
+        """Respond with the value and its change number."""
         self.standin.count("read")
         await self.send(self.standin.read(key), 404)
 
-    async def send(self, version: Version | None, otherwise: int) -> None:
-        """Send a value, or another status where there is none."""
-        if self.is_silent:
-            await self.stay_silent()
+    async def send(self, version: Version | None, missing_status: int) -> None:
+        """Send a value, or a status if there is none."""
+        if self.is_unresponsive:
+            await self.hold_unanswered()
             return
         if version is None or version.content is None:
-            self.set_status(otherwise)
+            self.set_status(missing_status)
             await self.finish()
             return
         self.set_header("Content-Type", "application/octet-stream")
@@ -168,12 +172,12 @@
     """Wait for a value to change."""
 
     async def get(self, key: str) -> None:
-        """Answer when the value is newer than the caller's."""
+        """Respond when the value is newer than the caller's."""
         self.standin.count("watch")
         after = int(self.get_argument("after", "0"))
         wait_s = float(self.get_argument("wait_s", "30"))
         version = await self.standin.watch(key, after, wait_s)
-        # A caller that hung up while it waited gets nothing.
+        # The caller may have disconnected while it waited.
         if not self.stream.closed():
             await self.send(version, 304)
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in of a model engine: slots, steps and running requests."""
+"""Stand-in for a model engine: slots, steps and running requests."""
 
 import asyncio
 import time
@@ -9,18 +9,18 @@
 from typing import Any
 
 from standins.engine_state import CacheLog, EngineRequest, EngineSettings, Outcome
-from standins.server import Misbehaviour
+from standins.server import ConnectionFaults
 from standins.tokens import token_text
 
-__all__ = ["Engine", "RefusedError"]
+__all__ = ["Engine", "RejectedError"]
 
 Fetcher = Callable[[str], Awaitable[bool]]
-RESTARTS = count(1)
+BOOT_NUMBERS = count(1)
 SETTING_NAMES = frozenset(item.name for item in fields(EngineSettings))
 
 
-class RefusedError(Exception):
-    """Carry the status and error word of a refusal."""
+class RejectedError(Exception):
+    """A rejected call, with the HTTP status and body of the response."""
 
     def __init__(self, status: int, error: str, **details: object) -> None:
         super().__init__(error)
@@ -29,11 +29,11 @@
 
 
 class Engine:
-    """Run requests in continuous batches, one token each in a step."""
+    """Run requests in continuous batches, one token per request and step."""
 
     def __init__(self, settings: EngineSettings, fetch: Fetcher | None = None) -> None:
         self.settings = settings
-        self.misbehaviour = Misbehaviour()
+        self.connection_faults = ConnectionFaults()
         self.fetch = fetch
         self.runs: list[EngineRequest] = []
         self.evictions_while_serving: list[dict[str, Any]] = []
@@ -44,51 +44,51 @@
         self._numbers = count()
         self._task: asyncio.Task[None] | None = None
         self._work = asyncio.Event()
-        self._start_cold()
+        self._reset_state()
 
-    def _start_cold(self) -> None:
-        self.boot_id = f"boot-{next(RESTARTS)}-{time.time_ns()}"
+    def _reset_state(self) -> None:
+        self.boot_id = f"boot-{next(BOOT_NUMBERS)}-{time.time_ns()}"
         self.fence = 0
         self.loaded: dict[str, None] = {}
         self.loads_by_model: dict[str, asyncio.Task[bool]] = {}
         self.running: list[EngineRequest] = []
         self.waiting: list[EngineRequest] = []
-        self.kept_by_id: dict[str, EngineRequest] = {}
+        self.retained_by_id: dict[str, EngineRequest] = {}
         self._ended: deque[EngineRequest] = deque()
         self.cache = CacheLog(self.settings)
         self._report: tuple[float, dict[str, Any]] | None = None
 
     def start(self) -> None:
-        """Begin to step."""
+        """Start the step loop."""
         self._task = asyncio.ensure_future(self._run_steps())
 
     def stop(self) -> None:
-        """Stop stepping."""
+        """Stop the step loop."""
         if self._task is not None:
             self._task.cancel()
 
     def restart(self) -> None:
-        """Start cold: everything loaded, running, kept and fenced is lost."""
+        """Restart cold, losing adapters, requests and the fencing token."""
         now = time.monotonic()
         for request in [*self.running, *self.waiting]:
             request.end(Outcome.RESTARTED, now)
         for load in self.loads_by_model.values():
             load.cancel()
-        self._start_cold()
+        self._reset_state()
 
-    def control(self, orders: dict[str, Any]) -> None:
-        """Take ``restart``, ``loaded`` and any field of the settings."""
-        for name in SETTING_NAMES & orders.keys():
-            setattr(self.settings, name, orders[name])
-        if orders.get("restart"):
+    def control(self, commands: dict[str, Any]) -> None:
+        """Apply ``restart``, ``loaded`` and any field of the settings."""
+        for name in SETTING_NAMES & commands.keys():
+            setattr(self.settings, name, commands[name])
+        if commands.get("restart"):
             self.restart()
-        for model in orders.get("loaded", ()):
+        for model in commands.get("loaded", ()):
             self.loaded[model] = None
 
     def journal(self) -> dict[str, Any]:
-        """Return every run, every order and each violation seen."""
+        """Return all runs, orders and evictions while serving."""
         return {
-            "runs": [request.as_journal() for request in self.runs],
+            "runs": [request.as_journal_entry() for request in self.runs],
             "orders": list(self.orders),
             "evictions_while_serving": list(self.evictions_while_serving),
             "stale_refusals": self.stale_refusals,
@@ -98,16 +98,16 @@
         }
 
     def check_fence(self, fence: int | None) -> None:
-        """Refuse an order of an earlier owner, if this engine checks."""
+        """Reject a stale fencing token, if this engine checks them."""
         if fence is None or not self.settings.fenced:
             return
         if fence < self.fence:
             self.stale_refusals += 1
-            raise RefusedError(409, "stale_fence", fence=self.fence)
+            raise RejectedError(409, "stale_fence", fence=self.fence)
         self.fence = fence
 
-    def note_order(self, kind: str, body: dict[str, Any]) -> None:
-        """Write an order that is obeyed into the journal."""
+    def record_order(self, kind: str, body: dict[str, Any]) -> None:
+        """Record an accepted order in the journal."""
         model, fence = body.get("model", ""), body.get("fence")
         at = time.monotonic()
         self.orders.append({"kind": kind, "model": model, "fence": fence, "at": at})
@@ -115,12 +115,12 @@
     def submit(
         self, request_id: str, model: str, prompt: str, max_tokens: int, priority: int
     ) -> EngineRequest:
-        """Queue a request for the next step with room."""
+        """Queue a request until a step has a free place."""
         if model not in self.loaded:
-            raise RefusedError(404, "not_loaded")
+            raise RejectedError(404, "not_loaded")
         room = self.settings.max_running + self.settings.max_waiting
         if len(self.running) + len(self.waiting) >= room:
-            raise RefusedError(503, "full")
+            raise RejectedError(503, "full")
         request = EngineRequest(
             request_id=request_id,
             model=model,
@@ -128,38 +128,38 @@
             max_tokens=max_tokens,
             priority=priority,
             number=next(self._numbers),
-            accepted=time.monotonic(),
+            accepted_at=time.monotonic(),
         )
         self.runs.append(request)
         self.waiting.append(request)
-        self.kept_by_id[request_id] = request
+        self.retained_by_id[request_id] = request
         self._work.set()
         return request
 
     def cancel(self, request_id: str) -> bool:
-        """Stop a request that has not ended; return whether there was one."""
-        request = self.kept_by_id.get(request_id)
+        """Cancel an unfinished request; return whether there was one."""
+        request = self.retained_by_id.get(request_id)
         if request is None or request.outcome:
             return False
         self._end(request, Outcome.CANCELLED)
         return True
 
     def find(self, request_id: str) -> EngineRequest:
-        """Return a request that runs or ended a short time ago."""
-        request = self.kept_by_id.get(request_id)
+        """Return a request that is unfinished or ended within ``keep_s``."""
+        request = self.retained_by_id.get(request_id)
         if request is None:
-            raise RefusedError(404, "unknown_request")
+            raise RejectedError(404, "unknown_request")
         return request
 
     async def load(self, model: str) -> int:
-        """Load an adapter; return the milliseconds it took."""
+        """Load an adapter; return the duration in milliseconds."""
         if model in self.loaded:
             return 0
         started = time.monotonic()
         task = self.loads_by_model.get(model)
         if task is None:
             if len(self.loaded) + len(self.loads_by_model) >= self.settings.slots:
-                raise RefusedError(507, "no_slot")
+                raise RejectedError(507, "no_slot")
             task = asyncio.ensure_future(self._load(model))
             self.loads_by_model[model] = task
         try:
@@ -169,7 +169,7 @@
                 raise
             loaded = False
         if not loaded:
-            raise RefusedError(502, "load_failed")
+            raise RejectedError(502, "load_failed")
         return int((time.monotonic() - started) * 1000)
 
     async def _load(self, model: str) -> bool:
@@ -187,7 +187,7 @@
         return True
 
     def unload(self, model: str) -> None:
-        """Drop an adapter at once, and fail what it serves."""
+        """Evict an adapter immediately, failing the requests that use it."""
         serving = [
             item for item in [*self.running, *self.waiting] if item.model == model
         ]
@@ -211,7 +211,7 @@
 
     def _make_report(self) -> dict[str, Any]:
         unfinished = [*self.running, *self.waiting]
-        offered = self.steps * self.settings.max_running
+        capacity = self.steps * self.settings.max_running
         return {
             "boot_id": self.boot_id,
             "fence": self.fence,
@@ -225,7 +225,7 @@
             "waiting": len(self.waiting),
             "steps": self.steps,
             "step_ms": self.settings.step_ms,
-            "batch_fill": self.filled / offered if offered else 0.0,
+            "batch_fill": self.filled / capacity if capacity else 0.0,
         }
 
     def _end(self, request: EngineRequest, outcome: Outcome) -> None:
@@ -247,16 +247,16 @@
             self._admit()
             await asyncio.sleep(due - time.monotonic())
             self._step()
-            self._forget()
+            self._discard_expired()
 
     def _admit(self) -> None:
         self.waiting.sort(key=lambda item: (item.priority, item.number))
         now = time.monotonic()
         while self.waiting and len(self.running) < self.settings.max_running:
             request = self.waiting.pop(0)
-            request.started = now
-            if not self.cache.holds(request.prompt):
-                request.prefill_left = self.settings.prefill_steps
+            request.started_at = now
+            if not self.cache.contains(request.prompt):
+                request.prefill_steps_left = self.settings.prefill_steps
             self.cache.store(request.prompt, now)
             self.running.append(request)
 
@@ -269,8 +269,8 @@
             self._advance(request)
 
     def _advance(self, request: EngineRequest) -> None:
-        if request.prefill_left > 0:
-            request.prefill_left -= 1
+        if request.prefill_steps_left > 0:
+            request.prefill_steps_left -= 1
             return
         position = len(request.tokens)
         if position < request.max_tokens:
@@ -281,9 +281,9 @@
             return
         request.wake()
 
-    def _forget(self) -> None:
-        oldest_kept = time.monotonic() - self.settings.keep_s
-        while self._ended and self._ended[0].finished < oldest_kept:
+    def _discard_expired(self) -> None:
+        expired_before = time.monotonic() - self.settings.keep_s
+        while self._ended and self._ended[0].finished_at < expired_before:
             request = self._ended.popleft()
-            if self.kept_by_id.get(request.request_id) is request:
-                del self.kept_by_id[request.request_id]
+            if self.retained_by_id.get(request.request_id) is request:
+                del self.retained_by_id[request.request_id]
--- a/standins/engine_http.py
+++ b/standins/engine_http.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a stand-in engine."""
+"""HTTP interface of the stand-in engine."""
 
 import json
 import time
@@ -8,7 +8,7 @@
 from tornado.iostream import StreamClosedError
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-from standins.engine import Engine, Fetcher, RefusedError
+from standins.engine import Engine, Fetcher, RejectedError
 from standins.engine_state import EngineRequest, EngineSettings, Outcome
 from standins.server import Server, StandInHandler
 
@@ -20,43 +20,43 @@
 
 
 class OrderHandler(StandInHandler):
-    """Check the fence, carry out one order, answer refusals."""
+    """Check the fencing token, execute the order and report rejections."""
 
     standin: Engine
 
     async def post(self) -> None:
-        """Carry out the order unless its fence is stale."""
+        """Execute the order unless its fencing token is stale."""
         body = self.read_json()
         boot_id = self.standin.boot_id
         try:
             self.standin.check_fence(body.get("fence"))
-            await self.carry_out(body)
-        except RefusedError as refused:
+            await self.execute(body)
+        except RejectedError as rejection:
             if self.standin.boot_id != boot_id:
-                self.break_off()
+                self.drop_connection()
                 return
-            await self.answer(refused.status, refused.body)
+            await self.respond(rejection.status, rejection.body)
 
-    async def carry_out(self, body: dict[str, Any]) -> None:
-        """Carry out the order."""
+    async def execute(self, body: dict[str, Any]) -> None:
+        """Execute the order."""
         raise NotImplementedError
 
     async def stream_tokens(self, request: EngineRequest, position: int) -> None:
-        """Send the events of one request from a position on."""
+        """Stream the events of a request, starting at a position."""
         self.set_header("Content-Type", "text/event-stream")
-        # As engines do: each token goes out at its step, instead of waiting
-        # for the acknowledgement of the one before.
+        # Sends each token at its step instead of waiting for the previous
+        # one to be acknowledged (Nagle's algorithm), as engines do.
         self.stream.set_nodelay(True)
-        limit = self._take_silence()
+        limit = self._take_token_limit()
         sent = 0
         try:
             while True:
-                # Taken before the tokens are read: a token that comes between
-                # the two sets this event, and the wait below ends at once.
+                # Taken before the tokens are read, so that a token added in
+                # between sets this event and the wait below returns at once.
                 changed = request.changed
                 while position < len(request.tokens):
-                    if self.is_silent or (limit is not None and sent >= limit):
-                        await self.stay_silent()
+                    if self.is_unresponsive or (limit is not None and sent >= limit):
+                        await self.hold_unanswered()
                         return
                     self.write(format_event(request, position))
                     position += 1
@@ -69,7 +69,7 @@
         except StreamClosedError:
             return
 
-    def _take_silence(self) -> int | None:
+    def _take_token_limit(self) -> int | None:
         settings = self.standin.settings
         if settings.silent_streams <= 0:
             return None
@@ -78,10 +78,10 @@
 
     async def _end_stream(self, request: EngineRequest) -> None:
         if request.outcome is Outcome.RESTARTED:
-            self.break_off()
+            self.drop_connection()
             return
-        if self.is_silent:
-            await self.stay_silent()
+        if self.is_unresponsive:
+            await self.hold_unanswered()
             return
         if request.outcome is not Outcome.FINISHED:
             self.write(f'data: {{"error": "{request.outcome.value}"}}\n\n')
@@ -111,8 +111,8 @@
 class CompletionsHandler(OrderHandler):
     """Run a request."""
 
-    async def carry_out(self, body: dict[str, Any]) -> None:
-        """Queue the request and answer, streamed or whole."""
+    async def execute(self, body: dict[str, Any]) -> None:
+        """Queue the request and respond, streamed or as one body."""
         request = self.standin.submit(
             str(body.get("request_id", "")),
             str(body.get("model", "")),
@@ -125,83 +125,83 @@
             return
         while not request.outcome:
             await request.changed.wait()
-        await self._answer_whole(request)
+        await self._send_completion(request)
 
-    async def _answer_whole(self, request: EngineRequest) -> None:
+    async def _send_completion(self, request: EngineRequest) -> None:
         if request.outcome is Outcome.RESTARTED:
-            self.break_off()
+            self.drop_connection()
             return
         if request.outcome is not Outcome.FINISHED:
-            await self.answer(500, {"error": request.outcome.value})
+            await self.respond(500, {"error": request.outcome.value})
             return
         choice = {
             "text": "".join(request.tokens),
             "index": 0,
             "finish_reason": "length",
         }
-        whole = {
+        completion = {
             "id": request.request_id,
             "model": request.model,
             "choices": [choice],
             "usage": {"completion_tokens": len(request.tokens)},
         }
-        await self.answer(200, whole)
+        await self.respond(200, completion)
 
 
 class ResumeHandler(OrderHandler):
-    """Send a stream again from a position on."""
+    """Resume a stream at a position."""
 
-    async def carry_out(self, body: dict[str, Any]) -> None:
+    async def execute(self, body: dict[str, Any]) -> None:
         """Find the request and stream it."""
         request = self.standin.find(str(body.get("request_id", "")))
         await self.stream_tokens(request, int(body.get("position", 0)))
 
 
 class CancelHandler(OrderHandler):
-    """Stop a request."""
+    """Cancel a request."""
 
-    async def carry_out(self, body: dict[str, Any]) -> None:
-        """Cancel and tell whether there was anything to cancel."""
+    async def execute(self, body: dict[str, Any]) -> None:
+        """Cancel the request; respond with whether it was unfinished."""
         cancelled = self.standin.cancel(str(body.get("request_id", "")))
-        await self.answer(200, {"cancelled": cancelled})
+        await self.respond(200, {"cancelled": cancelled})
 
 
 class LoadHandler(OrderHandler):
     """Load an adapter."""
 
-    async def carry_out(self, body: dict[str, Any]) -> None:
-        """Answer when the adapter is loaded."""
-        self.standin.note_order("load", body)
+    async def execute(self, body: dict[str, Any]) -> None:
+        """Respond when the adapter is loaded."""
+        self.standin.record_order("load", body)
         took_ms = await self.standin.load(str(body.get("model", "")))
-        await self.answer(200, {"took_ms": took_ms})
+        await self.respond(200, {"took_ms": took_ms})
 
 
 class UnloadHandler(OrderHandler):
-    """Drop an adapter."""
+    """Evict an adapter."""
 
-    async def carry_out(self, body: dict[str, Any]) -> None:
-        """Obey, also when the adapter serves."""
-        self.standin.note_order("unload", body)
+    async def execute(self, body: dict[str, Any]) -> None:
+        """Evict the adapter, even if requests are using it."""
+        self.standin.record_order("unload", body)
         self.standin.unload(str(body.get("model", "")))
-        await self.answer(200, {})
+        await self.respond(200, {})
 
 
 class ReportHandler(StandInHandler):
     """Show the load report."""
 
     async def get(self) -> None:
-        """Answer with the report."""
-        await self.answer(200, self.standin.report())
+        """Respond with the report."""
+        await self.respond(200, self.standin.report())
 
 
 class CacheEventsHandler(StandInHandler):
     """Show cache events."""
 
     async def get(self) -> None:
-        """Answer with the events since a number."""
+        """Respond with the events from a number on."""
         since = int(self.get_argument("since", "0"))
         engine: Engine = self.standin
-        await self.answer(200, engine.cache.since(since, time.monotonic()))
+        await self.respond(200, engine.cache.list_events_since(since, time.monotonic()))
 
 
 ROUTES = [
@@ -240,7 +240,7 @@
 ) -> tuple[Engine, Server]:
     """Start an engine on a free port.
 
-    Without a weight store a load takes ``settings.load_s`` only.
+    Without a weight store, loads take ``settings.load_s`` only.
     """
     fetch = make_fetcher(store_url) if store_url else None
     engine = Engine(settings or EngineSettings(), fetch)
--- a/standins/engine_state.py
+++ b/standins/engine_state.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine holds: requests, its settings, its cache."""
+"""State of a stand-in engine: settings, requests and prefix cache."""
 
 import asyncio
 from collections import OrderedDict
@@ -12,7 +12,7 @@
 
 
 class Outcome(StrEnum):
-    """Name how a request ended on the engine."""
+    """How a request ended on the engine."""
 
     UNFINISHED = ""
     FINISHED = "finished"
@@ -23,11 +23,11 @@
 
 @dataclass(slots=True)
 class EngineSettings:
-    """How an engine behaves; changed by ``POST /control``.
+    """Settings of an engine, changed by ``POST /control``.
 
-    ``fail_loads`` is how many of the next loads fail partway.
-    ``silent_after`` lets the next ``silent_streams`` streams go silent after
-    that many tokens. ``gap_every`` leaves out each so many-th cache event.
+    The next ``fail_loads`` loads fail partway. The next ``silent_streams``
+    streams become unresponsive after ``silent_after`` tokens. Every
+    ``gap_every``-th cache event is omitted, none if zero.
     """
 
     slots: int = 8
@@ -49,7 +49,7 @@
 
 @dataclass(eq=False, slots=True)
 class EngineRequest:
-    """One run of a request; times are monotonic seconds, zero for not yet."""
+    """A run of a request; times are monotonic seconds, zero if not reached."""
 
     request_id: str
     model: str
@@ -57,82 +57,82 @@
     max_tokens: int
     priority: int
     number: int
-    accepted: float
-    prefill_left: int = 0
-    started: float = 0.0
-    finished: float = 0.0
+    accepted_at: float
+    prefill_steps_left: int = 0
+    started_at: float = 0.0
+    finished_at: float = 0.0
     outcome: Outcome = Outcome.UNFINISHED
     tokens: list[str] = field(default_factory=list)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def wake(self) -> None:
-        """Let everyone who waits look again."""
+        """Wake all waiters."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def end(self, outcome: Outcome, now: float) -> None:
-        """End the run."""
+        """End the run with an outcome."""
         self.outcome = outcome
-        self.finished = now
+        self.finished_at = now
         self.wake()
 
-    def as_journal(self) -> dict[str, Any]:
-        """Return the journal's line; ``tokens`` counts what was generated."""
+    def as_journal_entry(self) -> dict[str, Any]:
+        """Return the journal entry; ``tokens`` counts the generated tokens."""
         return {
             "request_id": self.request_id,
             "model": self.model,
             "prompt": self.prompt,
             "priority": self.priority,
-            "accepted": self.accepted,
-            "started": self.started,
-            "finished": self.finished,
+            "accepted": self.accepted_at,
+            "started": self.started_at,
+            "finished": self.finished_at,
             "tokens": len(self.tokens),
             "outcome": self.outcome.value,
         }
 
 
 class CacheLog:
-    """Keep the prefixes in memory and the events about them."""
+    """Prefix cache with LRU eviction and a log of its events."""
 
     def __init__(self, settings: EngineSettings) -> None:
         self.settings = settings
         self.prefixes: OrderedDict[str, None] = OrderedDict()
         self.events: list[tuple[float, dict[str, Any]]] = []
 
-    def holds(self, prompt: str) -> bool:
-        """Tell whether a prompt's prefix is in memory."""
+    def contains(self, prompt: str) -> bool:
+        """Return whether a prompt's prefix is cached."""
         return prompt[:PREFIX_CHARACTERS] in self.prefixes
 
     def store(self, prompt: str, now: float) -> None:
-        """Keep a prompt's prefix, dropping the one least recently used."""
+        """Cache a prompt's prefix, evicting the least recently used."""
         prefix = prompt[:PREFIX_CHARACTERS]
         if prefix in self.prefixes:
             self.prefixes.move_to_end(prefix)
             return
         self.prefixes[prefix] = None
-        self._note("stored", prefix, now)
+        self._record_event("stored", prefix, now)
         if len(self.prefixes) <= self.settings.cached_prefixes:
             return
         dropped, _ = self.prefixes.popitem(last=False)
-        self._note("removed", dropped, now)
+        self._record_event("removed", dropped, now)
 
-    def since(self, number: int, now: float) -> dict[str, Any]:
-        """Return the events from a number on that are old enough to show."""
-        shown = [
+    def list_events_since(self, number: int, now: float) -> dict[str, Any]:
+        """Return events from a number on that are older than the cache lag."""
+        visible = [
             event
-            for noted, event in self.events
-            if noted + self.settings.cache_lag_s <= now
+            for recorded_at, event in self.events
+            if recorded_at + self.settings.cache_lag_s <= now
         ]
-        following = shown[-1]["number"] + 1 if shown else number
+        next_number = visible[-1]["number"] + 1 if visible else number
         gap = self.settings.gap_every
         events = [
             event
-            for event in shown
+            for event in visible
             if event["number"] >= number
             and not (gap and event["number"] % gap == gap - 1)
         ]
-        return {"events": events, "next": max(following, number)}
+        return {"events": events, "next": max(next_number, number)}
 
-    def _note(self, kind: str, prefix: str, now: float) -> None:
+    def _record_event(self, kind: str, prefix: str, now: float) -> None:
         event = {"number": len(self.events), "kind": kind, "prefix": prefix}
         self.events.append((now, event))
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Start and end the processes of a run: stand-ins and daemons."""
+"""Start and stop the processes of a run: stand-ins and daemons."""
 
 import asyncio
 import contextlib
@@ -21,12 +21,12 @@
 
 LOOPBACK = "127.0.0.1"
 LISTENING_PORTS = range(20_000, 32_000)
-GIVEN_PORTS: set[int] = set()
+ALLOCATED_PORTS: set[int] = set()
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 15.0
 POLL_S = 0.1
 SHUTDOWN_S = 10.0
-LOG_LINES_SHOWN = 12
+MAX_LOG_LINES_SHOWN = 12
 
 SETTINGS = """\
 [instance]
@@ -53,12 +53,12 @@
 
 
 class FleetError(Exception):
-    """Say what kept the run from starting."""
+    """The processes of a run cannot be started or reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class Daemon:
-    """One instance of the system and where it listens."""
+    """A running instance and its addresses."""
 
     id: str
     deployment: str
@@ -71,7 +71,7 @@
 
 
 def is_free(port: int) -> bool:
-    """Tell whether nobody listens at a port."""
+    """Return whether a port can be bound."""
     with socket.socket() as probe:
         try:
             probe.bind((LOOPBACK, port))
@@ -81,24 +81,23 @@
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return free loopback addresses, all different.
+    """Return distinct free loopback addresses.
 
-    Guards against a port that is taken between this look and the daemon's
-    start, which then ends with "address already in use". The kernel gives
-    outgoing connections ports of its ephemeral range, so that these are below
-    it, and each is given out once.
+    The ports are below the kernel's ephemeral range and each is allocated
+    once, so that no outgoing connection can take one before the daemon binds
+    it.
     """
     addresses: list[str] = []
     while len(addresses) < count:
         port = random.choice(LISTENING_PORTS)
-        if port not in GIVEN_PORTS and is_free(port):
-            GIVEN_PORTS.add(port)
+        if port not in ALLOCATED_PORTS and is_free(port):
+            ALLOCATED_PORTS.add(port)
             addresses.append(f"{LOOPBACK}:{port}")
     return addresses
 
 
-async def until(ready: Callable[[], Awaitable[bool]], what: str) -> None:
-    """Wait until something is ready; raises ``FleetError``."""
+async def wait_until(ready: Callable[[], Awaitable[bool]], what: str) -> None:
+    """Poll until ready; raise ``FleetError`` on timeout."""
     deadline = time.monotonic() + START_TIMEOUT_S
     while not await ready():
         if time.monotonic() > deadline:
@@ -107,7 +106,7 @@
 
 
 async def end_process(process: asyncio.subprocess.Process) -> None:
-    """Ask a process to end, and kill it when it does not."""
+    """Terminate a process, and kill it after a timeout."""
     if process.returncode is None:
         process.terminate()
     with contextlib.suppress(TimeoutError):
@@ -119,7 +118,7 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """The processes of one run, each ended by its own id."""
+    """The processes of one run."""
 
     folder: Path
     operators_token: str = field(default_factory=lambda: secrets.token_urlsafe(24))
@@ -134,7 +133,7 @@
     )
 
     async def start_standins(self, deployment: str, trees: Path, centres: int) -> None:
-        """Start the stand-ins and wait for their ports."""
+        """Start the stand-ins and wait for their port file."""
         port_file = self.folder / "standins.json"
         process = await self.start_process(
             self.folder / "standins.log",
@@ -151,11 +150,11 @@
             self._check_running(process, self.folder / "standins.log")
             return port_file.exists()
 
-        await until(is_ready, "the stand-ins' process")
+        await wait_until(is_ready, "the stand-ins' process")
         self.ports_by_deployment = json.loads(port_file.read_text("utf-8"))
 
     async def start_daemons(self, deployment: str, per_centre: int) -> None:
-        """Start a deployment's instances and put them on the live list."""
+        """Start a deployment's instances and add them to the live list."""
         ports = self.ports_by_deployment[deployment]
         for data_centre in ports["data_centres"]:
             for number in range(per_centre):
@@ -202,10 +201,10 @@
             log=log,
         )
 
-    async def wait_until_answering(
+    async def wait_until_responding(
         self, deployment: str, path: str, token: str
     ) -> None:
-        """Wait until each instance answers a plain service's call."""
+        """Wait until each instance responds to a plain service's call."""
         for daemon in self.daemons:
             if daemon.deployment != deployment:
                 continue
@@ -213,11 +212,11 @@
             async def is_ready(daemon: Daemon = daemon) -> bool:
                 self._check_running(daemon.process, daemon.log)
                 url = f"http://{daemon.callers}{path}"
-                return await self._answers(url, token)
+                return await self._responds(url, token)
 
-            await until(is_ready, daemon.id)
+            await wait_until(is_ready, daemon.id)
 
-    async def _answers(self, url: str, token: str) -> bool:
+    async def _responds(self, url: str, token: str) -> bool:
         headers = {"Authorization": f"Bearer {token}"}
         try:
             response = await self.http.fetch(
@@ -227,12 +226,14 @@
             return False
         return response.code == 200
 
-    async def control(self, url: str, orders: dict[str, Any]) -> None:
-        """Give a stand-in orders."""
-        await self.http.fetch(f"{url}/control", method="POST", body=json.dumps(orders))
+    async def control(self, url: str, commands: dict[str, Any]) -> None:
+        """Send control commands to a stand-in."""
+        await self.http.fetch(
+            f"{url}/control", method="POST", body=json.dumps(commands)
+        )
 
     async def get_json(self, url: str) -> dict[str, Any]:
-        """Return a JSON object."""
+        """Fetch a JSON object."""
         try:
             response = await self.http.fetch(url)
         except HTTPClientError as error:
@@ -241,9 +242,9 @@
         return body
 
     async def stop(self) -> None:
-        """End every process by its id, the daemons before the stand-ins."""
-        # The stand-ins come first in the list: the daemons still need them
-        # while they finish what they serve.
+        """Stop all processes, the daemons before the stand-ins."""
+        # The stand-ins were started first. The daemons need them until their
+        # requests have finished.
         standins, daemons = self.processes[:1], self.processes[1:]
         await asyncio.gather(*map(end_process, daemons))
         await asyncio.gather(*map(end_process, standins))
@@ -251,15 +252,15 @@
     async def start_process(
         self, log: Path, *command: str | Path
     ) -> asyncio.subprocess.Process:
-        """Start a process that ``stop`` ends, with its output in a log."""
+        """Start a process, logging its output; ``stop`` ends it."""
         with log.open("wb") as sink:
             process = await asyncio.create_subprocess_exec(
                 *command,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=sink,
                 stderr=sink,
-                # Ctrl-C reaches this process only, which ends the others in
-                # order: a whole group hit at once would lose what it serves.
+                # Keeps Ctrl-C from the children: this process stops them in
+                # order, so that running requests can finish.
                 process_group=0,
             )
         self.processes.append(process)
@@ -268,6 +269,6 @@
     def _check_running(self, process: asyncio.subprocess.Process, log: Path) -> None:
         if process.returncode is None:
             return
-        lines = log.read_text("utf-8", "replace").splitlines()[-LOG_LINES_SHOWN:]
+        lines = log.read_text("utf-8", "replace").splitlines()[-MAX_LOG_LINES_SHOWN:]
         text = "\n".join(lines)
-        raise FleetError(f"{log.stem} ended with {process.returncode}:\n{text}")
+        raise FleetError(f"{log.stem} exited with status {process.returncode}:\n{text}")
--- a/standins/forwarding/__init__.py
+++ b/standins/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the users' platform, written from its published protocol."""
+"""Stand-ins for the platform, written from its published protocol."""
--- a/standins/forwarding/caller.py
+++ b/standins/forwarding/caller.py
@@ -1,4 +1,4 @@
-"""Write requests as the platform's callers do."""
+"""Request headers as the platform's callers send them."""
 
 from fescuekeel.helpers.dialect import Header
 from standins.forwarding.platform import HOST, MODEL
@@ -16,7 +16,7 @@
     body: bytes | None = None,
     key: str = "",
 ) -> list[Header]:
-    """Return the headers of a request, with its model if it asks for one.
+    """Return the headers of a request; an adapter adds those of its model.
 
     >>> dict(make_headers("r1", 3.0))["Fescuekeel-Deadline-Ms"]
     '3000'
--- a/standins/forwarding/daemons.py
+++ b/standins/forwarding/daemons.py
@@ -1,4 +1,4 @@
-"""Start daemons that forward, each as a process of its own."""
+"""Start daemons with the forwarding interface as child processes."""
 
 import asyncio
 import sys
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonAddresses:
-    """Where one daemon listens; each is ``IP:PORT``."""
+    """Listening addresses of a daemon, each ``IP:PORT``."""
 
     callers: str
     operators: str
@@ -59,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonSpec:
-    """What one daemon is started with.
+    """Settings of a daemon.
 
-    ``advertised`` is where its peers reach it, and ``store`` where it reaches
-    the store: either may lead through a proxy.
+    ``advertised`` is its address for peers and ``store`` the address of the
+    store; either may be that of a proxy.
     """
 
     id: str
@@ -98,7 +98,7 @@
 
 
 async def start_daemon(spec: DaemonSpec, folder: Path) -> asyncio.subprocess.Process:
-    """Start a daemon; its log is appended to ``ID.log`` in the folder."""
+    """Start a daemon; append its output to ``ID.log`` in the folder."""
     path = spec.write_settings(folder)
     with (folder / f"{spec.id}.log").open("ab") as sink:
         return await asyncio.create_subprocess_exec(
@@ -114,9 +114,9 @@
 
 
 async def wait_until_ready(client: AsyncHTTPClient, address: str) -> bool:
-    """Wait until a daemon's probe answers 200; false if it never does."""
-    until = time.monotonic() + READY_TIMEOUT_S
-    while time.monotonic() < until:
+    """Poll a daemon's readiness probe; return false on timeout."""
+    deadline = time.monotonic() + READY_TIMEOUT_S
+    while time.monotonic() < deadline:
         try:
             await client.fetch(f"http://{address}/readyz")
             return True
--- a/standins/forwarding/platform.py
+++ b/standins/forwarding/platform.py
@@ -1,4 +1,4 @@
-"""A whole stand-in platform: store, workers and a configuration."""
+"""Stand-in platform: store, workers and a configuration."""
 
 from typing import Any
 
@@ -36,7 +36,7 @@
 
 
 def make_configuration(version: int, *more: dict[str, Any]) -> dict[str, Any]:
-    """Return a configuration with a route of each kind, and more routes."""
+    """Return a configuration with a route of each kind and further routes."""
     engine = {
         "slots": 8,
         "kv_capacity_tokens": 100000,
@@ -67,7 +67,7 @@
 
 
 class StandInPlatform:
-    """Start a store and two workers of each service, one a data centre."""
+    """A store, and a worker of each service in each data centre."""
 
     def __init__(self) -> None:
         self.store: PlatformStore
@@ -78,11 +78,11 @@
         self._addresses_by_id: dict[str, str] = {}
 
     def start_store(self) -> None:
-        """Start the store alone, with nothing in it."""
+        """Start an empty store, without workers."""
         self.store, self.store_server = start_store()
 
     def start(self) -> None:
-        """Start everything and publish it."""
+        """Start the store and the workers, and publish them."""
         self.start_store()
         for zone in ZONES:
             self.add(Worker(ENGINES, MODEL), zone)
@@ -90,7 +90,7 @@
         self.publish_configuration(make_configuration(1))
 
     def start_worker(self, worker: Worker, zone: str) -> str:
-        """Start a worker and return its address; nothing is published yet."""
+        """Start a worker without publishing it; return its address."""
         server = start_worker(worker)
         self.workers_by_id[worker.id] = worker
         self._servers_by_id[worker.id] = server
@@ -104,22 +104,22 @@
         self.publish_state(worker, "ready")
 
     def publish_at(self, worker: Worker, address: str) -> None:
-        """Publish a worker that is reached at another address, of a proxy."""
+        """Publish a worker at another address, such as a proxy's."""
         self._addresses_by_id[worker.id] = address
         self.publish_state(worker, "ready")
 
     def publish_state(self, worker: Worker, state: str) -> None:
-        """Publish that a worker is ``ready`` or ``draining``."""
+        """Publish a worker's state, ``ready`` or ``draining``."""
         address = self._addresses_by_id[worker.id]
         entry = worker.describe(address, self._zones_by_id[worker.id], state)
         self.store.put(f"servers/{worker.id}", entry)
 
     def publish_configuration(self, configuration: dict[str, Any]) -> None:
-        """Publish a configuration in place of the last."""
+        """Publish a configuration, replacing the previous one."""
         self.store.put("op/config", configuration)
 
     def is_published(self, worker: Worker) -> bool:
-        """Tell whether a worker's entry is in the store."""
+        """Return whether a worker's entry is in the store."""
         return f"servers/{worker.id}" in self.store.items_by_key
 
     def remove(self, worker: Worker) -> None:
@@ -127,13 +127,13 @@
         self.store.put(f"servers/{worker.id}", None)
 
     async def stop_worker(self, worker: Worker) -> None:
-        """Stop a worker, whatever it is running."""
+        """Stop a worker, aborting its requests."""
         server = self._servers_by_id.pop(worker.id, None)
         if server is not None:
             await server.stop()
 
     def publish_version(self, adapter: str, version: int) -> None:
-        """Name a new version of an adapter."""
+        """Publish a new version of an adapter."""
         for worker in self.workers_by_id.values():
             worker.newest_by_adapter[adapter] = version
         value = {"model": MODEL, "adapter": adapter, "version": version}
@@ -148,7 +148,7 @@
         ]
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the workers and the store."""
         for server in self._servers_by_id.values():
             await server.stop()
         await self.store_server.stop()
--- a/standins/forwarding/sample.py
+++ b/standins/forwarding/sample.py
@@ -1,4 +1,4 @@
-"""Run the forwarding interface on loopback and send it a sample load."""
+"""Run the forwarding interface on loopback under a sample load."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError
 
 from standins.fleet import free_addresses
-from standins.forwarding.accounts import AccountShow, show_accounts
+from standins.forwarding.accounts import AccountCheck, check_accounts
 from standins.forwarding.caller import make_headers
 from standins.forwarding.daemons import (
     DaemonAddresses,
@@ -26,7 +26,7 @@
     ZONES,
     StandInPlatform,
 )
-from standins.journals import Doubled
+from standins.journals import RunViolation
 from standins.load import Result, SampleRequest, Verdict
 from standins.table import format_summary, format_table
 
@@ -37,11 +37,11 @@
 REQUESTS_PER_S = 25.0
 ADAPTERS = 12
 TIMEOUT_S = 5.0
-REFUSALS = frozenset({408, 421, 429, 503})
+REJECTION_STATUSES = frozenset({408, 421, 429, 503})
 
 
 class SampleRun:
-    """A stand-in platform in this process, and daemons before it."""
+    """A stand-in platform in this process, and daemons in front of it."""
 
     def __init__(self, folder: Path) -> None:
         self.platform = StandInPlatform()
@@ -51,7 +51,7 @@
         self._client = AsyncHTTPClient(force_instance=True, max_clients=1000)
 
     async def start(self) -> None:
-        """Start everything and wait until all instances are ready."""
+        """Start the platform and the daemons; wait until all are ready."""
         self.platform.start()
         zones = [zone for zone in ZONES for _ in range(INSTANCES_PER_ZONE)]
         free = iter(free_addresses(4 * len(zones)))
@@ -76,15 +76,15 @@
                 raise SystemExit(f"no instance became ready at {item.ready}")
 
     async def send(self, request: SampleRequest) -> Result:
-        """Send one request when it is due and check its answer."""
+        """Send one request when it is due and check its response."""
         await asyncio.sleep(request.due_s)
         _, _, adapter = request.model.partition("/")
         headers = dict(make_headers(request.marker, request.timeout_s, adapter))
-        began = time.monotonic()
+        started_at = time.monotonic()
         address = random.choice(self.callers)
         result = Result(request, Verdict.LOST)
         try:
-            answer = await self._client.fetch(
+            response = await self._client.fetch(
                 f"http://{address}{request.path}",
                 method=request.method,
                 headers=headers,
@@ -95,18 +95,18 @@
         except (HTTPClientError, OSError) as error:
             result.detail = repr(error)
             return result
-        result.first_s = time.monotonic() - began
-        if answer.code == 200:
+        result.first_chunk_s = time.monotonic() - started_at
+        if response.code == 200:
             result.verdict = Verdict.ANSWERED
-        elif answer.code in REFUSALS:
-            result.verdict, result.kind = Verdict.REFUSED, str(answer.code)
+        elif response.code in REJECTION_STATUSES:
+            result.verdict, result.kind = Verdict.REFUSED, str(response.code)
         else:
-            result.detail = f"status {answer.code}"
+            result.detail = f"status {response.code}"
         return result
 
-    def find_doubled(self, results: list[Result]) -> list[Doubled]:
-        """Return requests that ran twice, or ran although refused."""
-        doubled = []
+    def find_run_violations(self, results: list[Result]) -> list[RunViolation]:
+        """Return unrepeatable requests that ran twice or although rejected."""
+        violations = []
         for result in results:
             runs = sum(
                 worker.runs[result.request.marker]
@@ -114,15 +114,17 @@
             )
             refused = result.verdict is Verdict.REFUSED
             if runs > (0 if refused else 1) and not result.request.repeatable:
-                doubled.append(Doubled(result.request.marker, f"ran {runs} times"))
-        return doubled
+                violations.append(
+                    RunViolation(result.request.marker, f"ran {runs} times")
+                )
+        return violations
 
-    async def show_accounts(self) -> AccountShow:
-        """Show a key that is not known, a limit, and a key taken away."""
-        return await show_accounts(self.platform, self.callers, self._client)
+    async def check_accounts(self) -> AccountCheck:
+        """Check an unknown key, a rate limit and a revoked key."""
+        return await check_accounts(self.platform, self.callers, self._client)
 
     async def stop(self) -> None:
-        """End the daemons, then the platform."""
+        """Stop the daemons, then the platform."""
         for process in self._processes:
             if process.returncode is None:
                 process.terminate()
@@ -132,7 +134,7 @@
 
 
 def make_plan() -> list[SampleRequest]:
-    """Return a mixed load; a few adapters get most of the prompts."""
+    """Return a mixed load; adapter popularity is Pareto-distributed."""
     plan = []
     for number in range(REQUESTS):
         route = random.choice(("lookup", "charge", "script", "script", "explain"))
@@ -157,7 +159,7 @@
 
 
 async def run(folder: Path) -> int:
-    """Run everything; return the exit code."""
+    """Run the sample load; return the exit code."""
     sample = SampleRun(folder)
     try:
         print(f"starting a platform of stand-ins ({ENGINES}, {PLAIN})", flush=True)
@@ -166,18 +168,18 @@
         results = list(
             await asyncio.gather(*(sample.send(request) for request in make_plan()))
         )
-        doubled = sample.find_doubled(results)
-        accounts = await sample.show_accounts()
+        violations = sample.find_run_violations(results)
+        accounts = await sample.check_accounts()
         overrun = [id for id, w in sample.platform.workers_by_id.items() if w.overrun]
     finally:
         await sample.stop()
     print(format_table(results))
     for id in overrun:
         print(f"overrun {id}: it was ordered to hold more than it has places for")
-    print(format_summary(results, doubled))
+    print(format_summary(results, violations))
     print(accounts.format_line())
     lost = any(result.verdict is Verdict.LOST for result in results)
-    return 1 if lost or doubled or overrun else 0
+    return 1 if lost or violations or overrun else 0
 
 
 def start() -> None:
@@ -187,7 +189,7 @@
 
 
 def main() -> None:
-    """Read the command line."""
+    """Run the command line interface."""
     fire.Fire(start, name="run")
 
 
--- a/standins/forwarding/store.py
+++ b/standins/forwarding/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, which instances may only read."""
+"""Stand-in for the platform's store, which instances only read."""
 
 import asyncio
 import base64
@@ -7,7 +7,7 @@
 
 import orjson
 
-from standins.server import Misbehaviour, Server, StandInHandler
+from standins.server import ConnectionFaults, Server, StandInHandler
 
 __all__ = ["PlatformStore", "start_store"]
 
@@ -16,14 +16,14 @@
 
 @dataclass(slots=True)
 class Item:
-    """One key's state; ``value`` is ``None`` after a removal."""
+    """State of a key; ``value`` is ``None`` after a removal."""
 
     key: str
     value: bytes | None
     revision: int
 
     def as_json(self) -> dict[str, Any]:
-        """Return the item as the store writes it."""
+        """Return the item in the store's JSON format."""
         if self.value is None:
             return {"key": self.key, "revision": self.revision, "tombstone": True}
         text = base64.b64encode(self.value).decode()
@@ -33,10 +33,10 @@
 
 @dataclass(eq=False)
 class PlatformStore:
-    """Hold items and their history.
+    """Items and their history.
 
-    ``refuse`` is the status that every call gets, zero for none, and
-    ``oldest`` the first revision that a watch may still begin after.
+    ``refuse`` is the status that rejects every call, zero for none, and
+    ``oldest`` the earliest revision that a watch can start after.
     """
 
     revision: int = 1
@@ -45,7 +45,7 @@
     calls: int = 0
     items_by_key: dict[str, Item] = field(default_factory=dict)
     history: list[Item] = field(default_factory=list)
-    misbehaviour: Misbehaviour = field(default_factory=Misbehaviour)
+    connection_faults: ConnectionFaults = field(default_factory=ConnectionFaults)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def put(self, key: str, value: Any) -> None:
@@ -53,7 +53,7 @@
         self.put_bytes(key, None if value is None else orjson.dumps(value))
 
     def put_bytes(self, key: str, encoded: bytes | None) -> None:
-        """Write any bytes, as another writer may; ``None`` removes the key."""
+        """Write arbitrary bytes; ``None`` removes the key."""
         self.revision += 1
         item = Item(key, encoded, self.revision)
         self.items_by_key[key] = item
@@ -63,38 +63,38 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def forget_history(self) -> None:
-        """Drop the history: watches must begin anew."""
+    def compact_history(self) -> None:
+        """Drop the history, so that older watches have to start again."""
         self.oldest = self.revision
         self.history.clear()
 
-    def control(self, orders: dict[str, Any]) -> None:
-        """Take ``refuse``."""
-        self.refuse = int(orders.get("refuse", self.refuse))
+    def control(self, commands: dict[str, Any]) -> None:
+        """Apply ``refuse``."""
+        self.refuse = int(commands.get("refuse", self.refuse))
 
     def journal(self) -> dict[str, Any]:
-        """Return what was asked so far."""
+        """Return the number of calls and the current revision."""
         return {"calls": self.calls, "revision": self.revision}
 
 
 class StoreHandler(StandInHandler):
-    """Refuse, or answer."""
+    """Base class of the store's handlers."""
 
     standin: PlatformStore
 
     async def prepare(self) -> None:
-        """Count the call, and refuse it if told so."""
+        """Count the call, and reject it if ``refuse`` is set."""
         await super().prepare()
         self.standin.calls += 1
         if self.standin.refuse and not self._finished:
-            await self.answer(self.standin.refuse, {})
+            await self.respond(self.standin.refuse, {})
 
 
 class RangeHandler(StoreHandler):
-    """List items, a page at a time."""
+    """List items page by page."""
 
     async def get(self) -> None:
-        """Answer with the page after a key."""
+        """Respond with the page after a key."""
         prefix = self.get_query_argument("prefix", "")
         after = self.get_query_argument("after", "")
         found = sorted(
@@ -108,19 +108,19 @@
             "has_more": len(found) > PAGE_ITEMS,
             "as_of": self.standin.revision,
         }
-        await self.answer(200, body)
+        await self.respond(200, body)
 
 
 class WatchHandler(StoreHandler):
     """Wait for changes."""
 
     async def get(self) -> None:
-        """Answer with all changes after a revision, at once if there are."""
+        """Respond with the changes after a revision; wait if none."""
         store = self.standin
         after = int(self.get_query_argument("after"))
         wait_s = int(self.get_query_argument("wait_ms", "0")) / 1000
         if after < store.oldest:
-            await self.answer(410, {})
+            await self.respond(410, {})
             return
         if not self.list_events(after):
             try:
@@ -129,7 +129,7 @@
             except TimeoutError:
                 pass
         events = [item.as_json() for item in self.list_events(after)]
-        await self.answer(200, {"events": events, "as_of": store.revision})
+        await self.respond(200, {"events": events, "as_of": store.revision})
 
     def list_events(self, after: int) -> list[Item]:
         """Return the changes after a revision."""
--- a/standins/forwarding/workers.py
+++ b/standins/forwarding/workers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's workers: engines and plain applications."""
+"""Stand-ins for the platform's workers: engines and plain services."""
 
 import asyncio
 import itertools
@@ -9,27 +9,27 @@
 
 from tornado.iostream import StreamClosedError
 
-from standins.server import Misbehaviour, Server, StandInHandler
+from standins.server import ConnectionFaults, Server, StandInHandler
 
 __all__ = ["RunRecord", "Worker", "start_worker"]
 
-NOT_EXECUTED = "Fescuekeel-Not-Executed"
-KEY = "X-Api-Key"
-TENANT = "Fescuekeel-Tenant"
-STAMP = "Fescuekeel-Server-Stamp"
-REQUEST_ID = "Fescuekeel-Request-Id"
+NOT_EXECUTED_HEADER = "Fescuekeel-Not-Executed"
+API_KEY_HEADER = "X-Api-Key"
+TENANT_HEADER = "Fescuekeel-Tenant"
+SERVER_STAMP_HEADER = "Fescuekeel-Server-Stamp"
+REQUEST_ID_HEADER = "Fescuekeel-Request-Id"
 LOAD_S = 0.1
-# More loads than this at a time slow each other down in proportion.
+# Beyond this many concurrent loads, load time grows in proportion.
 LOADS_AT_FULL_SPEED = 2
 IDS = itertools.count(1)
 
 
 @dataclass(frozen=True, slots=True)
 class RunRecord:
-    """One run as the worker saw it begin; ``at`` is monotonic seconds.
+    """A run as of its start; ``at`` is in monotonic seconds.
 
-    ``account`` is the client account that was named, and ``key`` a caller's
-    key that should not have come along.
+    ``account`` is the client account in the request. ``key`` is the caller's
+    API key, which instances must not forward.
     """
 
     request_id: str
@@ -42,24 +42,24 @@
 
 @dataclass(eq=False)
 class Worker:
-    """Run requests, and hold weights if it is an engine.
-
-    Of the next requests, ``fail`` run and answer 500, ``shed`` are refused
-    without running, ``cut`` break off after some events and ``stall`` send
-    nothing after some events. ``overrun``
-    says that it was ordered to hold more than ``places``, ``unloaded_in_use``
-    which adapters it was ordered to drop while they ran, and ``fences`` are
-    the fencing numbers of its orders in turn. Reports show what was
-    ``report_lag_s`` ago.
+    """A worker: a plain service, or an engine if it has a model.
+
+    Of the next requests, ``fail`` run and respond with 500, ``shed`` are
+    rejected without running, ``cut`` drop the connection after some events
+    and ``stall`` become unresponsive after some events. ``overrun`` is set
+    by a load beyond ``max_loaded_adapters``; ``unloaded_in_use`` lists
+    adapters that were evicted while serving. ``fences`` and ``holders`` are
+    the fencing tokens and senders of the accepted orders, in order of
+    arrival. Reports are ``report_lag_s`` old.
     """
 
     service: str
     model: str = ""
-    places: int = 4
+    max_loaded_adapters: int = 4
     events: int = 6
     event_s: float = 0.005
     report_lag_s: float = 0.0
-    misbehaviour: Misbehaviour = field(default_factory=Misbehaviour)
+    connection_faults: ConnectionFaults = field(default_factory=ConnectionFaults)
     id: str = field(default_factory=lambda: f"w-{next(IDS)}")
     born: int = field(default_factory=lambda: time.time_ns() // 1_000_000)
     runs: Counter[str] = field(default_factory=Counter)
@@ -69,7 +69,7 @@
     pending: set[str] = field(default_factory=set)
     newest_by_adapter: dict[str, int] = field(default_factory=dict)
     running: int = 0
-    stopped: int = 0
+    aborted_streams: int = 0
     sequence: int = 0
     fences: list[int] = field(default_factory=list)
     holders: list[str] = field(default_factory=list)
@@ -82,17 +82,17 @@
     stall: int = 0
     _past_states: deque[tuple[float, dict[str, Any]]] = field(default_factory=deque)
 
-    def control(self, orders: dict[str, Any]) -> None:
-        """Take ``fail``, ``shed`` and ``cut``."""
+    def control(self, commands: dict[str, Any]) -> None:
+        """Apply ``fail``, ``shed`` and ``cut``."""
         for name in ("fail", "shed", "cut"):
-            setattr(self, name, int(orders.get(name, getattr(self, name))))
+            setattr(self, name, int(commands.get(name, getattr(self, name))))
 
     def journal(self) -> dict[str, Any]:
-        """Return what ran here."""
+        """Return run counts by request and by weights."""
         return {"runs": dict(self.runs), "served": dict(self.served_by_weights)}
 
     def restart(self) -> None:
-        """Start again under the same id, holding and knowing nothing."""
+        """Restart with the same id and empty state."""
         self.born = max(self.born + 1, time.time_ns() // 1_000_000)
         self.versions_by_adapter.clear()
         self.pending.clear()
@@ -101,15 +101,15 @@
         self.sequence = 0
         self._past_states.clear()
 
-    def spend(self, name: str) -> bool:
-        """Count down a fault; return whether it is due."""
+    def consume_fault(self, name: str) -> bool:
+        """Return whether a fault applies, and count it down."""
         left = getattr(self, name)
         if left:
             setattr(self, name, left - 1)
         return bool(left)
 
     def list_models(self) -> list[dict[str, Any]]:
-        """Return what is held, as reports and entries say it."""
+        """Return the loaded models in the format of reports and entries."""
         if not self.model:
             return []
         adapters = [f"{name}@{v}" for name, v in self.versions_by_adapter.items()]
@@ -130,8 +130,8 @@
             "born": self.born,
         }
 
-    def take(self, fence: int, holder: str, precondition: int | None) -> int:
-        """Return with which status an order is refused, zero if it is not."""
+    def admit_order(self, fence: int, holder: str, precondition: int | None) -> int:
+        """Record an order; return its rejection status, zero if accepted."""
         if fence < max(self.fences, default=0):
             return 412
         if precondition is not None and precondition != self.sequence:
@@ -141,33 +141,33 @@
         return 0
 
     def unload(self, adapter: str) -> None:
-        """Drop an adapter at once."""
+        """Evict an adapter immediately."""
         if self.running_by_adapter[adapter]:
             self.unloaded_in_use.append(adapter)
         if self.versions_by_adapter.pop(adapter, None) is not None:
             self.sequence += 1
-        self.remember_state()
+        self.record_state()
 
     def begin_load(self, adapter: str) -> None:
-        """Take a place for an adapter that is on its way from now on."""
+        """Reserve a place for an adapter and mark it as loading."""
         self.sequence += 1
         self.pending.add(adapter)
         count = len(self.versions_by_adapter.keys() | self.pending)
-        self.overrun = self.overrun or count > self.places
-        self.remember_state()
+        self.overrun = self.overrun or count > self.max_loaded_adapters
+        self.record_state()
 
     async def finish_load(self, adapter: str, version: int) -> None:
-        """Bring an adapter in after a while, unless a restart comes first."""
+        """Load an adapter after a delay, unless the worker restarts."""
         born = self.born
         await asyncio.sleep(LOAD_S * max(1, len(self.pending) / LOADS_AT_FULL_SPEED))
         if self.born != born:
             return
         self.pending.discard(adapter)
         self.versions_by_adapter[adapter] = version
-        self.remember_state()
+        self.record_state()
 
-    def remember_state(self) -> None:
-        """Keep the state of this moment for the reports that will show it."""
+    def record_state(self) -> None:
+        """Record the current state for delayed reports."""
         state = {
             "models": self.list_models(),
             "pending": [f"{self.model}/{name}@1" for name in self.pending],
@@ -177,34 +177,34 @@
         self._past_states.append((time.monotonic(), state))
 
     def report(self) -> dict[str, Any]:
-        """Return the report, as late as reports are."""
+        """Return the state as of ``report_lag_s`` ago."""
         if not self._past_states:
-            self.remember_state()
-        shown_until = time.monotonic() - self.report_lag_s
-        while len(self._past_states) > 1 and self._past_states[1][0] <= shown_until:
+            self.record_state()
+        visible_until = time.monotonic() - self.report_lag_s
+        while len(self._past_states) > 1 and self._past_states[1][0] <= visible_until:
             self._past_states.popleft()
         return self._past_states[0][1]
 
 
 class WorkerHandler(StandInHandler):
-    """Check that the call is meant for this worker."""
+    """Base class that checks that a call is meant for this worker."""
 
     standin: Worker
 
     async def prepare(self) -> None:
-        """Answer 421 if another worker is expected."""
+        """Respond with 421 if another worker is expected."""
         await super().prepare()
         expected = self.request.headers.get("Fescuekeel-Expect-Instance")
         if expected and expected != self.standin.id and not self._finished:
             self.set_header("Fescuekeel-Instance-Id", self.standin.id)
-            await self.answer(421, {})
+            await self.respond(421, {})
 
 
 class ReportHandler(WorkerHandler):
-    """Show the worker's state."""
+    """Serve the worker's report."""
 
     async def get(self) -> None:
-        """Answer with the report."""
+        """Respond with the report."""
         worker = self.standin
         body = {
             "stage": "both",
@@ -214,80 +214,82 @@
             "kv_used": 0,
             "kv_total": 1000,
         }
-        await self.answer(200, body | worker.report())
+        await self.respond(200, body | worker.report())
 
 
 class OrderHandler(WorkerHandler):
-    """Take an order."""
+    """Execute a load or unload order."""
 
     async def post(self) -> None:
-        """Answer 200 if it holds already, 202 if it is carried out."""
+        """Respond with 200 if the order is complete, 202 if it has started."""
         worker = self.standin
         order = self.read_json()
-        refused = worker.take(
+        rejected_with = worker.admit_order(
             order["fencing_token"], order["holder"], order.get("precondition")
         )
-        if refused:
-            await self.answer(refused, {})
+        if rejected_with:
+            await self.respond(rejected_with, {})
             return
         adapter = order.get("adapter", "")
         if order["operation"] == "unload":
             worker.unload(adapter)
-            await self.answer(200, {})
+            await self.respond(200, {})
             return
         if not adapter:
-            # The base model is there from the beginning.
-            await self.answer(200, {})
+            # The base model is always loaded.
+            await self.respond(200, {})
             return
         version = order.get("version") or worker.newest_by_adapter.get(adapter, 1)
         if worker.versions_by_adapter.get(adapter, 0) >= version:
-            await self.answer(200, {})
+            await self.respond(200, {})
             return
         if adapter not in worker.pending:
             worker.begin_load(adapter)
             work = worker.finish_load(adapter, version)
             self.load_task = asyncio.ensure_future(work)
-        await self.answer(202, {})
+        await self.respond(202, {})
 
 
 class RunHandler(WorkerHandler):
     """Run a request, as a stream if it names a model."""
 
     def initialize(self, *arguments: Any, **options: Any) -> None:
-        """Make ready to hear that the other side has closed."""
+        """Create the event that is set when the caller disconnects."""
         super().initialize(*arguments, **options)
         self.closed = asyncio.Event()
 
-    async def run_any(self) -> None:
-        """Refuse, fail or run."""
+    async def run_request(self) -> None:
+        """Run the request, or reject or fail it."""
         worker = self.standin
-        self.set_header(REQUEST_ID, self.request.headers.get(REQUEST_ID, ""))
-        if worker.spend("shed"):
-            self.set_header(NOT_EXECUTED, "1")
-            await self.answer(503, {})
+        self.set_header(
+            REQUEST_ID_HEADER, self.request.headers.get(REQUEST_ID_HEADER, "")
+        )
+        if worker.consume_fault("shed"):
+            self.set_header(NOT_EXECUTED_HEADER, "1")
+            await self.respond(503, {})
             return
         model, _, adapter = self.request.headers.get("Fescuekeel-Model", "").partition(
             "/"
         )
         if adapter and adapter not in worker.versions_by_adapter:
-            await self.answer(421, {})
+            await self.respond(421, {})
             return
-        request_id = self.request.headers.get(REQUEST_ID, "")
+        request_id = self.request.headers.get(REQUEST_ID_HEADER, "")
         version = worker.versions_by_adapter.get(adapter, 0)
         expected = self.request.headers.get("Fescuekeel-Expect-Version")
         if expected and int(expected) != version:
-            await self.answer(421, {})
+            await self.respond(421, {})
             return
         worker.runs[request_id] += 1
-        account = self.request.headers.get(TENANT, "")
-        key = self.request.headers.get(KEY, "")
+        account = self.request.headers.get(TENANT_HEADER, "")
+        key = self.request.headers.get(API_KEY_HEADER, "")
         worker.records.append(
             RunRecord(request_id, time.monotonic(), adapter, version, account, key)
         )
         worker.served_by_weights[f"{model}/{adapter}"] += 1
-        self.set_header(STAMP, f"stamp-{worker.id}")
-        if worker.spend("fail"):
-            await self.answer(500, {})
+        self.set_header(SERVER_STAMP_HEADER, f"stamp-{worker.id}")
+        if worker.consume_fault("fail"):
+            await self.respond(500, {})
         elif model:
             worker.running_by_adapter[adapter] += 1
             try:
@@ -299,19 +301,19 @@
             self.set_status(200)
             await self.finish(echo.encode() + self.request.body)
 
-    get = post = run_any
+    get = post = run_request
 
     async def stream_events(self) -> None:
-        """Write the events after the last one that the caller has."""
+        """Stream the events after ``Last-Event-Id``."""
         worker = self.standin
         first = int(self.request.headers.get("Last-Event-Id") or 0) + 1
-        broken = worker.spend("cut")
-        stalled = worker.spend("stall")
+        cut_off = worker.consume_fault("cut")
+        stalled = worker.consume_fault("stall")
         self.set_header("Content-Type", "text/event-stream")
         worker.running += 1
         try:
             for number in range(first, worker.events + 1):
-                if broken and number == first + 2:
+                if cut_off and number == first + 2:
                     self.request.connection.stream.close()  # type: ignore[union-attr]
                     return
                 if stalled and number == first + 2:
@@ -322,17 +324,17 @@
                 await asyncio.sleep(worker.event_s)
             await self.finish()
         except StreamClosedError:
-            worker.stopped += 1
+            worker.aborted_streams += 1
         finally:
             worker.running -= 1
 
     async def wait_for_close(self) -> None:
-        """Send nothing until the other side has closed."""
+        """Send nothing until the caller disconnects."""
         await self.closed.wait()
-        self.standin.stopped += 1
+        self.standin.aborted_streams += 1
 
     def on_connection_close(self) -> None:
-        """Note that nobody reads any more."""
+        """Wake ``wait_for_close``."""
         super().on_connection_close()
         self.closed.set()
 
--- a/standins/journals.py
+++ b/standins/journals.py
@@ -1,4 +1,4 @@
-"""Compare what callers heard with what the endpoints' journals say."""
+"""Compare the callers' results with the endpoints' journals."""
 
 import re
 from collections import Counter
@@ -8,33 +8,33 @@
 
 from standins.load import Result, Verdict
 
-__all__ = ["Doubled", "count_runs", "find_doubled"]
+__all__ = ["RunViolation", "count_runs", "find_run_violations"]
 
 MARKER = re.compile(r"sample-[a-z0-9-]+")
-RAN_NO = "no"
+NOT_RUN = "no"
 
 
 @dataclass(frozen=True, slots=True)
-class Doubled:
-    """A request that ran too often, or ran although "not run" was told."""
+class RunViolation:
+    """A request that ran too often, or ran although reported as not run."""
 
     marker: str
     detail: str
 
 
 @dataclass(slots=True)
-class Group:
-    """All results that share a marker: a request and its repetition."""
+class RequestResults:
+    """Results with the same marker: a request and its repetitions."""
 
     results: list[Result] = field(default_factory=list)
 
 
 def count_runs(journals: Iterable[dict[str, Any]]) -> Counter[str]:
-    """Return how often each marker ran, from all endpoints' journals."""
+    """Return the number of runs of each marker in the journals."""
     runs_by_marker: Counter[str] = Counter()
     for journal in journals:
         for run in journal["runs"]:
-            # What waited on an engine and never took a step did not run.
+            # A request that only waited in an engine's queue did not run.
             if not run["started"]:
                 continue
             text = run.get("prompt") or f"{run.get('path')} {run.get('body')}"
@@ -44,27 +44,27 @@
     return runs_by_marker
 
 
-def find_doubled(
+def find_run_violations(
     results: Sequence[Result], runs_by_marker: Counter[str]
-) -> list[Doubled]:
-    """Return each request that breaks what was promised about its runs."""
-    groups_by_marker: dict[str, Group] = {}
+) -> list[RunViolation]:
+    """Return requests whose runs contradict what callers were told."""
+    groups_by_marker: dict[str, RequestResults] = {}
     for result in results:
-        group = groups_by_marker.setdefault(result.request.marker, Group())
+        group = groups_by_marker.setdefault(result.request.marker, RequestResults())
         group.results.append(result)
     found = []
     for marker, group in groups_by_marker.items():
-        detail = _check(group, runs_by_marker[marker])
+        detail = _describe_violation(group, runs_by_marker[marker])
         if detail:
-            found.append(Doubled(marker, detail))
+            found.append(RunViolation(marker, detail))
     return found
 
 
-def _check(group: Group, runs: int) -> str:
+def _describe_violation(group: RequestResults, runs: int) -> str:
     if runs > 1 and not all(item.request.repeatable for item in group.results):
         return f"not repeatable, ran {runs} times"
     refused = [item.ran for item in group.results if item.verdict is Verdict.REFUSED]
-    told_not_run = len(refused) == len(group.results) and set(refused) == {RAN_NO}
-    if runs and told_not_run:
+    reported_not_run = len(refused) == len(group.results) and set(refused) == {NOT_RUN}
+    if runs and reported_not_run:
         return f'told "not run", ran {runs} times'
     return ""
--- a/standins/live_list.py
+++ b/standins/live_list.py
@@ -1,17 +1,17 @@
-"""A stand-in of the platform's list of live and leaving instances."""
+"""Stand-in for the platform's list of live and leaving instances."""
 
 import time
 from dataclasses import asdict, dataclass, replace
 from typing import Any
 
-from standins.server import Misbehaviour, Server, StandInHandler
+from standins.server import ConnectionFaults, Server, StandInHandler
 
 __all__ = ["Entry", "LiveListService", "start_live_list"]
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One row of the list."""
+    """A row of the list."""
 
     id: str
     role: str
@@ -26,27 +26,27 @@
 
 
 class LiveListService:
-    """Show the entries as they were ``lag_s`` ago."""
+    """Serve the entries as of ``lag_s`` ago."""
 
     def __init__(self, lag_s: float = 0.0) -> None:
         self.lag_s = lag_s
-        self.misbehaviour = Misbehaviour()
+        self.connection_faults = ConnectionFaults()
         self.entries_by_id: Snapshot = {}
         self.calls = 0
         self._history: list[tuple[float, Snapshot]] = [(0.0, {})]
 
-    def control(self, orders: dict[str, Any]) -> None:
-        """Take ``lag_s``, ``set`` (rows), ``leave`` and ``remove`` (ids)."""
-        self.lag_s = float(orders.get("lag_s", self.lag_s))
-        for row in orders.get("set", ()):
+    def control(self, commands: dict[str, Any]) -> None:
+        """Apply ``lag_s``, ``set`` (rows), ``leave`` and ``remove`` (ids)."""
+        self.lag_s = float(commands.get("lag_s", self.lag_s))
+        for row in commands.get("set", ()):
             self.set(Entry(**row))
-        for id in orders.get("leave", ()):
+        for id in commands.get("leave", ()):
             self.set(replace(self.entries_by_id[id], leaving=True))
-        for id in orders.get("remove", ()):
+        for id in commands.get("remove", ()):
             self.remove(id)
 
     def journal(self) -> dict[str, Any]:
-        """Return the calls counted and the true entries."""
+        """Return the number of calls and the current entries."""
         entries = [asdict(entry) for entry in self.entries_by_id.values()]
         return {"calls": self.calls, "entries": entries}
 
@@ -58,8 +58,8 @@
         """Remove a row."""
         self._replace({key: v for key, v in self.entries_by_id.items() if key != id})
 
-    def shown(self) -> Snapshot:
-        """Return the rows as a reader sees them now."""
+    def list_visible(self) -> Snapshot:
+        """Return the rows as of ``lag_s`` ago."""
         bound = time.monotonic() - self.lag_s
         for changed, entries_by_id in reversed(self._history):
             if changed <= bound:
@@ -72,15 +72,15 @@
 
 
 class LiveHandler(StandInHandler):
-    """Show the list."""
+    """Serve the list."""
 
     standin: LiveListService
 
     async def get(self) -> None:
-        """Answer with all entries."""
+        """Respond with the visible entries."""
         self.standin.calls += 1
-        rows = [asdict(entry) for entry in self.standin.shown().values()]
-        await self.answer(200, {"entries": rows})
+        rows = [asdict(entry) for entry in self.standin.list_visible().values()]
+        await self.respond(200, {"entries": rows})
 
 
 async def start_live_list(lag_s: float = 0.0) -> tuple[LiveListService, Server]:
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""Send requests as callers do and check what comes back."""
+"""Send requests as callers do and check the responses."""
 
 import asyncio
 import json
@@ -19,11 +19,11 @@
 CONNECT_TIMEOUT_S = 5.0
 DONE = "[DONE]"
 EVENT_PREFIX = "data: "
-KIND_CUT = "answer_cut"
+INTERRUPTED_KIND = "answer_cut"
 
 
 class Verdict(StrEnum):
-    """Name what a caller got."""
+    """The result of a request for its caller."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SampleRequest:
-    """One request of the load; ``marker`` is found again in the journals.
+    """A request of the load, identified in the journals by its ``marker``.
 
-    ``model`` is what the request asks for and ``runs_on`` the adapter with
-    its version that must answer; both are empty for a plain service.
-    ``due_s`` is when it is sent, in seconds from the start.
+    ``model`` is the requested model and ``served_by`` the adapter and version
+    that must serve it; both are empty for a plain service. ``due_s`` is the
+    time of sending, in seconds from the start.
     """
 
     marker: str
@@ -47,7 +47,7 @@
     timeout_s: float
     repeatable: bool
     model: str = ""
-    runs_on: str = ""
+    served_by: str = ""
     prompt: str = ""
     max_tokens: int = 0
     stream: bool = False
@@ -57,7 +57,7 @@
 
     @property
     def body(self) -> str | None:
-        """Return the body to send."""
+        """Return the request body."""
         if self.model:
             completion = {
                 "model": self.model,
@@ -73,10 +73,10 @@
 
 @dataclass(slots=True)
 class Result:
-    """What came of one request; times in seconds.
+    """Result of a request.
 
-    ``kind`` and ``ran`` are those of a refusal, ``detail`` says what is wrong
-    with an answer.
+    ``kind`` and ``ran`` are fields of the error; ``detail`` says why the
+    request counts as lost.
     """
 
     request: SampleRequest
@@ -84,34 +84,34 @@
     kind: str = ""
     ran: str = ""
     detail: str = ""
-    took_s: float = 0.0
-    first_s: float | None = None
+    duration_s: float = 0.0
+    first_chunk_s: float | None = None
     stall_s: float | None = None
     queue_s: float | None = None
 
 
 @dataclass(slots=True)
-class Arrival:
-    """Collect the pieces of one answer."""
+class ReceivedBody:
+    """Collect the chunks of a response body and time the first."""
 
-    started: float = field(default_factory=time.monotonic)
-    first: float | None = None
-    pieces: list[bytes] = field(default_factory=list)
+    started_at: float = field(default_factory=time.monotonic)
+    first_at: float | None = None
+    chunks: list[bytes] = field(default_factory=list)
 
-    def take(self, piece: bytes) -> None:
-        """Keep a piece and note when the first one came."""
-        if self.first is None:
-            self.first = time.monotonic()
-        self.pieces.append(piece)
+    def add_chunk(self, chunk: bytes) -> None:
+        """Append a chunk, and record the time of the first one."""
+        if self.first_at is None:
+            self.first_at = time.monotonic()
+        self.chunks.append(chunk)
 
     @property
     def body(self) -> bytes:
-        """Return all that came."""
-        return b"".join(self.pieces)
+        """Return the body received so far."""
+        return b"".join(self.chunks)
 
 
 class Caller:
-    """Send requests to the entry instances in turn."""
+    """Send requests to the instances in turn."""
 
     def __init__(self, addresses: Sequence[str]) -> None:
         self.addresses = addresses
@@ -123,37 +123,37 @@
 
     async def run(self, requests: Sequence[SampleRequest]) -> list[Result]:
         """Send each request when it is due; return all results."""
-        start = time.monotonic()
-        work = (self._send_when_due(request, start) for request in requests)
+        started_at = time.monotonic()
+        work = (self._send_when_due(request, started_at) for request in requests)
         return list(await asyncio.gather(*work))
 
-    async def _send_when_due(self, request: SampleRequest, start: float) -> Result:
-        await asyncio.sleep(max(0.0, start + request.due_s - time.monotonic()))
+    async def _send_when_due(self, request: SampleRequest, started_at: float) -> Result:
+        await asyncio.sleep(max(0.0, started_at + request.due_s - time.monotonic()))
         return await self.send(request)
 
     async def send(self, request: SampleRequest, address: str = "") -> Result:
-        """Send one request and judge its answer by itself."""
+        """Send a request and check its response."""
         address = address or self.addresses[self.sent % len(self.addresses)]
         self.sent += 1
         result = Result(request)
-        arrival = Arrival()
+        received = ReceivedBody()
         try:
             response = await self.http.fetch(
-                self._compose(request, address, arrival), raise_error=False
+                self._make_request(request, address, received), raise_error=False
             )
-            _read_waits(result, response.headers)
-            _judge(result, response.code, arrival.body)
+            _read_wait_headers(result, response.headers)
+            _check_response(result, response.code, received.body)
         except (HTTPError, OSError, ValueError, KeyError, TypeError) as error:
             result.verdict = Verdict.LOST
             result.detail = f"no final answer: {error!r}"
-        result.took_s = time.monotonic() - arrival.started
-        if request.stream and arrival.first is not None:
-            result.first_s = arrival.first - arrival.started
+        result.duration_s = time.monotonic() - received.started_at
+        if request.stream and received.first_at is not None:
+            result.first_chunk_s = received.first_at - received.started_at
         self.ended += 1
         return result
 
-    def _compose(
-        self, request: SampleRequest, address: str, arrival: Arrival
+    def _make_request(
+        self, request: SampleRequest, address: str, received: ReceivedBody
     ) -> HTTPRequest:
         headers = {
             "Authorization": f"Bearer {request.token}",
@@ -169,81 +169,86 @@
             body=request.body,
             connect_timeout=CONNECT_TIMEOUT_S,
             request_timeout=request.timeout_s,
-            # A redirect that is followed would send the request twice.
+            # Following a redirect would send the request twice.
             follow_redirects=False,
-            streaming_callback=arrival.take,
+            streaming_callback=received.add_chunk,
         )
 
 
-def _read_waits(result: Result, headers: Any) -> None:
+def _read_wait_headers(result: Result, headers: Any) -> None:
     if "X-Stall-Ms" in headers:
         result.stall_s = float(headers["X-Stall-Ms"]) / 1000
     if "X-Queue-Ms" in headers:
         result.queue_s = float(headers["X-Queue-Ms"]) / 1000
 
 
-def _judge(result: Result, status: int, body: bytes) -> None:
+def _check_response(result: Result, status: int, body: bytes) -> None:
     request = result.request
     if status != 200:
-        _take_error(result, json.loads(body))
+        _record_error(result, json.loads(body))
         return
     if not request.model:
-        _judge_plain(result, json.loads(body))
+        _check_plain(result, json.loads(body))
     elif request.stream:
-        _judge_stream(result, body.decode("utf-8"))
+        _check_stream(result, body.decode("utf-8"))
     else:
-        _judge_whole(result, json.loads(body))
+        _check_completion(result, json.loads(body))
 
 
-def _take_error(result: Result, body: dict[str, Any]) -> None:
+def _record_error(result: Result, body: dict[str, Any]) -> None:
     error = body["error"]
     result.verdict = Verdict.REFUSED
     result.kind, result.ran = str(error["kind"]), str(error["ran"])
-    if result.kind == KIND_CUT:
+    if result.kind == INTERRUPTED_KIND:
         result.verdict = Verdict.LOST
         result.detail = "the answer was cut"
 
 
-def _settle(result: Result, wrong: str) -> None:
-    result.detail = wrong
-    result.verdict = Verdict.LOST if wrong else Verdict.ANSWERED
+def _set_verdict(result: Result, fault: str) -> None:
+    result.detail = fault
+    result.verdict = Verdict.LOST if fault else Verdict.ANSWERED
 
 
-def _judge_plain(result: Result, body: dict[str, Any]) -> None:
+def _check_plain(result: Result, body: dict[str, Any]) -> None:
     request = result.request
-    seen = body["path"] + body["body"]
-    _settle(result, "" if request.marker in seen else "another request's answer")
+    echo = body["path"] + body["body"]
+    _set_verdict(result, "" if request.marker in echo else "another request's answer")
 
 
-def _judge_whole(result: Result, body: dict[str, Any]) -> None:
-    _settle(result, _compare(result.request, body["model"], body["choices"][0]["text"]))
+def _check_completion(result: Result, body: dict[str, Any]) -> None:
+    _set_verdict(
+        result,
+        _find_mismatch(result.request, body["model"], body["choices"][0]["text"]),
+    )
 
 
-def _judge_stream(result: Result, text: str) -> None:
+def _check_stream(result: Result, text: str) -> None:
     if text and not text.endswith("\n\n"):
-        _settle(result, "the stream ends within an event")
+        _set_verdict(result, "the stream ends within an event")
         return
     events = [event.removeprefix(EVENT_PREFIX) for event in text.split("\n\n") if event]
     parsed = [json.loads(event) for event in events if event != DONE]
     errors = [event for event in parsed if "error" in event]
     if errors:
-        _take_error(result, errors[0])
+        _record_error(result, errors[0])
         return
     if not events or events[-1] != DONE:
-        _settle(result, "the stream has no end")
+        _set_verdict(result, "the stream has no end")
         return
     positions = [event["position"] for event in parsed]
     if positions != list(range(len(positions))):
-        _settle(result, f"positions {positions}")
+        _set_verdict(result, f"positions {positions}")
         return
     models = {event["model"] for event in parsed}
     whole = "".join(event["choices"][0]["text"] for event in parsed)
-    _settle(result, _compare(result.request, " ".join(sorted(models)), whole))
+    _set_verdict(
+        result, _find_mismatch(result.request, " ".join(sorted(models)), whole)
+    )
 
 
-def _compare(request: SampleRequest, model: str, text: str) -> str:
-    if model != request.runs_on:
-        return f"answered by {model}, not {request.runs_on}"
-    if text != expected_text(request.runs_on, request.prompt, request.max_tokens):
+def _find_mismatch(request: SampleRequest, model: str, text: str) -> str:
+    if model != request.served_by:
+        return f"answered by {model}, not {request.served_by}"
+    if text != expected_text(request.served_by, request.prompt, request.max_tokens):
         return f"wrong text of {len(text.split())} tokens for {request.max_tokens}"
     return ""
--- a/standins/plan.py
+++ b/standins/plan.py
@@ -1,4 +1,4 @@
-"""The mixed sample load of one deployment, drawn from its tree."""
+"""Sample load of a deployment, generated from its tree."""
 
 import random
 from collections.abc import Iterator
@@ -10,48 +10,50 @@
 
 __all__ = ["make_plan"]
 
-# The sample's adapters: few enough that the weight store can follow.
+# Limits the loads to what the weight store can serve.
 ADAPTERS_PER_SERVICE = 10
 ZIPF_EXPONENT = 0.9
 TIMEOUT_MARGIN_S = 10.0
 STREAMED_SHARE = 0.5
-VERSION_LEFT_OUT_SHARE = 0.1
+UNVERSIONED_SHARE = 0.1
 READ_SHARE = 0.5
-SENT_TWICE_SHARE = 0.2
-FEWEST_TOKENS = 4
-MOST_TOKENS = 32
+DUPLICATE_SHARE = 0.2
+MIN_TOKENS = 4
+MAX_TOKENS = 32
 
 
 class PlanMaker:
-    """Draw requests for the services of a tree, in turn."""
+    """Generate requests for the services of a tree in turn."""
 
-    def __init__(self, deployment: str, tree: Tree, tokens: str, seed: int) -> None:
+    def __init__(
+        self, deployment: str, tree: Tree, tokens_text: str, seed: int
+    ) -> None:
         self.deployment = deployment
         self.tree = tree
         self.random = random.Random(f"{deployment} {seed}")
         self.tokens_by_shop: dict[str, str] = {}
         for path in tree.intent.service_paths:
             shop = path.partition("/")[0]
-            token = find_token(tree, shop, tokens)
+            token = find_token(tree, shop, tokens_text)
             if token is None:
-                raise ValueError(f"no token of shop {shop} is known")
+                raise ValueError(f"no token of shop {shop} found in the given text")
             self.tokens_by_shop[shop] = token
         self.adapters_by_path = {
             path: self._choose_adapters(path) for path in tree.intent.service_paths
         }
 
     def make(self, count: int, per_s: float) -> Iterator[SampleRequest]:
-        """Yield requests, some of them twice with the same key."""
+        """Yield requests, some of them twice with the same idempotency key."""
         paths = self.tree.intent.service_paths
         for number in range(count):
             request = self._draw(paths[number % len(paths)], number, number / per_s)
             yield request
-            twice = self.random.random() < SENT_TWICE_SHARE
-            if request.key and twice:
+            is_duplicate = self.random.random() < DUPLICATE_SHARE
+            if request.key and is_duplicate:
                 yield request
 
     def _choose_adapters(self, path: str) -> list[str]:
-        names = self.tree.adapters(path)
+        names = self.tree.list_adapters(path)
         return self.random.sample(names, min(len(names), ADAPTERS_PER_SERVICE))
 
     def _draw(self, path: str, number: int, due_s: float) -> SampleRequest:
@@ -63,10 +65,10 @@
         shop, _, service = path.partition("/")
         policy = self.tree.intent.resolve(shop, service, name, "").unwrap()
         model = f"{service}/{policy.adapter}"
-        if self.random.random() < VERSION_LEFT_OUT_SHARE:
+        if self.random.random() < UNVERSIONED_SHARE:
             model = f"{service}/{name}"
-        marker = self._mark(number)
-        most = min(MOST_TOKENS, policy.max_tokens or MOST_TOKENS)
+        marker = self._make_marker(number)
+        max_tokens = min(MAX_TOKENS, policy.max_tokens or MAX_TOKENS)
         return SampleRequest(
             marker=marker,
             shop=shop,
@@ -76,9 +78,9 @@
             timeout_s=policy.answer_s + TIMEOUT_MARGIN_S,
             repeatable=policy.repeatable,
             model=model,
-            runs_on=str(policy.adapter),
+            served_by=str(policy.adapter),
             prompt=f"{marker} for {name}",
-            max_tokens=self.random.randint(min(FEWEST_TOKENS, most), most),
+            max_tokens=self.random.randint(min(MIN_TOKENS, max_tokens), max_tokens),
             stream=self.random.random() < STREAMED_SHARE,
             key=self._choose_key(policy, marker),
         )
@@ -86,7 +88,7 @@
     def _draw_plain(self, path: str, number: int, due_s: float) -> SampleRequest:
         shop, _, service = path.partition("/")
         policy = self.tree.intent.resolve(shop, service, "", "").unwrap()
-        marker = self._mark(number)
+        marker = self._make_marker(number)
         reads = policy.repeatable and self.random.random() < READ_SHARE
         return SampleRequest(
             marker=marker,
@@ -106,15 +108,20 @@
             return ""
         return f"key-{marker}"
 
-    def _mark(self, number: int) -> str:
+    def _make_marker(self, number: int) -> str:
         return f"sample-{self.deployment}-{number:04}"
 
 
 def make_plan(
-    deployment: str, tree: Tree, tokens: str, count: int, per_s: float, seed: int = 1
+    deployment: str,
+    tree: Tree,
+    tokens_text: str,
+    count: int,
+    per_s: float,
+    seed: int = 1,
 ) -> list[SampleRequest]:
-    """Return the load of one deployment; the same seed gives the same load."""
-    return list(PlanMaker(deployment, tree, tokens, seed).make(count, per_s))
+    """Return the load of a deployment, deterministic for a seed."""
+    return list(PlanMaker(deployment, tree, tokens_text, seed).make(count, per_s))
 
 
 def find_plain_service(tree: Tree) -> str | None:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""A small platform: the stand-ins of one deployment together."""
+"""All stand-ins of one deployment."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """The sizes of one user's deployment, of which two centres are run."""
+    """The sizes of a deployment."""
 
     name: str
     engines: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One engine or plain service and where it listens."""
+    """An engine or plain service and its server."""
 
     id: str
     pool: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Platform:
-    """All stand-ins of one deployment.
+    """The stand-ins of one deployment.
 
     Tests build it from pools, publish a tree and add their instances::
 
@@ -80,7 +80,7 @@
         loads_per_s: float = 10.0,
         live_lag_s: float = 0.0,
     ) -> "Platform":
-        """Start the services; endpoints are added pool by pool."""
+        """Start the services, without endpoints."""
         store, store_server = await start_weight_store(loads_per_s)
         config, config_server = await start_config_service()
         live, live_server = await start_live_list(live_lag_s)
@@ -96,7 +96,7 @@
 
     @property
     def engines_by_id(self) -> dict[str, Engine]:
-        """Return the engines."""
+        """Return the engines among the endpoints."""
         return {
             id: item.standin
             for id, item in self.endpoints_by_id.items()
@@ -105,7 +105,7 @@
 
     @property
     def plains_by_id(self) -> dict[str, PlainService]:
-        """Return the plain services."""
+        """Return the plain services among the endpoints."""
         return {
             id: item.standin
             for id, item in self.endpoints_by_id.items()
@@ -147,11 +147,11 @@
         return self.config.publish(revision, parts)
 
     def add_instance(self, id: str, address: str, data_centre: str) -> None:
-        """Put an instance of the system on the live list."""
+        """Add an instance to the live list."""
         self.live.set(Entry(id, "instance", address, data_centre))
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all stand-ins."""
         for engine in self.engines_by_id.values():
             engine.stop()
         servers = [item.server for item in self.endpoints_by_id.values()]
@@ -159,10 +159,10 @@
         await asyncio.gather(*(server.stop() for server in servers))
 
 
-def share_out(total: int, shares: int) -> list[int]:
-    """Split a number of endpoints over pools, at least one each.
+def distribute(total: int, shares: int) -> list[int]:
+    """Distribute a number of endpoints over pools, at least one each.
 
-    >>> share_out(5, 2), share_out(1, 2)
+    >>> distribute(5, 2), distribute(1, 2)
     ([3, 2], [1, 1])
     """
     return [
@@ -173,7 +173,7 @@
 async def start_deployment(
     deployment: Deployment, pools: dict[str, Pool], centres: int
 ) -> Platform:
-    """Start a deployment's platform at the brief's sizes."""
+    """Start a deployment's stand-ins with its sizes."""
     platform = await Platform.start(
         deployment.data_centres[:centres], deployment.loads_per_s, LIVE_LAG_S
     )
@@ -182,7 +182,7 @@
         (PoolKind.PLAIN, deployment.plains),
     ):
         of_kind = [pool for pool in pools.values() if pool.kind is kind]
-        counts = share_out(total, max(1, len(of_kind)))
+        counts = distribute(total, max(1, len(of_kind)))
         for pool, count in zip(of_kind, counts, strict=False):
             await platform.add_pool(pool, count, REPORT_LAG_S)
     return platform
--- a/standins/sample.py
+++ b/standins/sample.py
@@ -1,4 +1,4 @@
-"""Run both deployments on loopback and send them the sample load."""
+"""Run both deployments on loopback under a sample load."""
 
 import asyncio
 import signal
@@ -12,11 +12,11 @@
 import fire
 
 from standins.fleet import Fleet, FleetError
-from standins.journals import Doubled, count_runs, find_doubled
+from standins.journals import RunViolation, count_runs, find_run_violations
 from standins.load import Caller, Result, SampleRequest, Verdict
 from standins.plan import find_plain_service, make_plan
 from standins.platform import DEPLOYMENTS_BY_NAME
-from standins.table import format_summary, format_table, mean_fill
+from standins.table import format_summary, format_table, mean_batch_fill
 from standins.trees import Tree, find_token, read_tree
 
 __all__ = ["main"]
@@ -27,14 +27,14 @@
 REQUESTS = 150
 REQUESTS_PER_S = 10.0
 PROGRESS_S = 2.0
-EXIT_STOPPED = 130
+EXIT_INTERRUPTED = 130
 REPORT_LAG_S = 0.5
-FAULTS_SHOWN = 10
+MAX_FAULTS_SHOWN = 10
 
 
 @dataclass(frozen=True, slots=True)
-class Deployed:
-    """One deployment that is up, and its load."""
+class RunningDeployment:
+    """A running deployment and its load."""
 
     name: str
     tree: Tree
@@ -44,22 +44,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
-    """What came of one deployment's load."""
+class DeploymentOutcome:
+    """Results of a deployment's load."""
 
     name: str
     results: list[Result]
-    doubled: list[Doubled]
+    violations: list[RunViolation]
     fill: float | None
 
 
-def say(text: str) -> None:
-    """Print at once, also into a pipe."""
+def print_now(text: str) -> None:
+    """Print without buffering."""
     print(text, flush=True)
 
 
-async def deploy(fleet: Fleet, name: str, examples: Path) -> Deployed:
-    """Wait until a deployment's instances answer, and plan its load."""
+async def deploy(fleet: Fleet, name: str, examples: Path) -> RunningDeployment:
+    """Wait until a deployment's instances respond, and plan its load."""
     tree = read_tree(examples / name)
     tokens = (examples / "README.md").read_text("utf-8")
     requests = make_plan(name, tree, tokens, REQUESTS, REQUESTS_PER_S)
@@ -68,14 +68,14 @@
         shop, _, service = plain.partition("/")
         token = find_token(tree, shop, tokens) or ""
         path = f"/services/{service}/items?probe=1"
-        await fleet.wait_until_answering(name, path, token)
+        await fleet.wait_until_responding(name, path, token)
     addresses = [item.callers for item in fleet.daemons if item.deployment == name]
-    say(f"{name}: {len(addresses)} instances answer")
-    return Deployed(name, tree, tokens, requests, Caller(addresses))
+    print_now(f"{name}: {len(addresses)} instances answer")
+    return RunningDeployment(name, tree, tokens, requests, Caller(addresses))
 
 
-async def show_progress(deployed: Sequence[Deployed]) -> None:
-    """Print how far the load is until cancelled."""
+async def print_progress(deployed: Sequence[RunningDeployment]) -> None:
+    """Print the progress of the load until cancelled."""
     start = time.monotonic()
     while True:
         await asyncio.sleep(PROGRESS_S)
@@ -84,12 +84,12 @@
             f" of={len(item.requests)}"
             for item in deployed
         ]
-        say(f"  {time.monotonic() - start:5.1f} s  " + "  ".join(parts))
+        print_now(f"  {time.monotonic() - start:5.1f} s  " + "  ".join(parts))
 
 
-async def send_load(deployed: Sequence[Deployed]) -> list[list[Result]]:
-    """Send all loads at once."""
-    progress = asyncio.ensure_future(show_progress(deployed))
+async def send_load(deployed: Sequence[RunningDeployment]) -> list[list[Result]]:
+    """Send the loads of all deployments concurrently."""
+    progress = asyncio.ensure_future(print_progress(deployed))
     try:
         loads = (item.caller.run(item.requests) for item in deployed)
         return await asyncio.gather(*loads)
@@ -97,7 +97,9 @@
         progress.cancel()
 
 
-async def judge(fleet: Fleet, name: str, results: list[Result]) -> Judged:
+async def check_runs(
+    fleet: Fleet, name: str, results: list[Result]
+) -> DeploymentOutcome:
     """Compare the results with the endpoints' journals."""
     await asyncio.sleep(REPORT_LAG_S)
     endpoints = fleet.ports_by_deployment[name]["endpoints"]
@@ -107,39 +109,39 @@
         for item in endpoints
         if item["kind"] == "engine"
     ]
-    doubled = find_doubled(results, count_runs(journals))
-    return Judged(name, results, doubled, mean_fill(reports))
+    violations = find_run_violations(results, count_runs(journals))
+    return DeploymentOutcome(name, results, violations, mean_batch_fill(reports))
 
 
-def show(judged: Judged) -> None:
-    """Print a deployment's table and what went wrong."""
-    fill = "-" if judged.fill is None else f"{judged.fill:.3f}"
-    say(f"\n{judged.name}: times in seconds, batch efficiency {fill}")
-    say(format_table(judged.results))
-    lost = [item for item in judged.results if item.verdict is Verdict.LOST]
-    for item in lost[:FAULTS_SHOWN]:
-        say(f"lost {item.request.marker}: {item.detail}")
-    for fault in judged.doubled[:FAULTS_SHOWN]:
-        say(f"doubled {fault.marker}: {fault.detail}")
+def print_outcome(outcome: DeploymentOutcome) -> None:
+    """Print a deployment's table, lost requests and run violations."""
+    fill = "-" if outcome.fill is None else f"{outcome.fill:.3f}"
+    print_now(f"\n{outcome.name}: times in seconds, batch efficiency {fill}")
+    print_now(format_table(outcome.results))
+    lost = [item for item in outcome.results if item.verdict is Verdict.LOST]
+    for item in lost[:MAX_FAULTS_SHOWN]:
+        print_now(f"lost {item.request.marker}: {item.detail}")
+    for violation in outcome.violations[:MAX_FAULTS_SHOWN]:
+        print_now(f"doubled {violation.marker}: {violation.detail}")
 
 
-def show_addresses(fleet: Fleet, deployed: Sequence[Deployed]) -> None:
-    """Print where everything listens and how to call it."""
+def print_addresses(fleet: Fleet, deployed: Sequence[RunningDeployment]) -> None:
+    """Print the addresses of all processes and commands to call them."""
     for daemon in fleet.daemons:
-        say(
+        print_now(
             f"{daemon.id}: callers http://{daemon.callers} "
             f"operators http://{daemon.operators} pid {daemon.process.pid}"
         )
-    say(f"operators' token: {fleet.operators_token}")
-    say(
+    print_now(f"operators' token: {fleet.operators_token}")
+    print_now(
         f"FESCUEKEEL_TOKEN={fleet.operators_token} .venv/bin/fescuekeel status "
         f"--url http://{fleet.daemons[0].operators}"
     )
     for name, ports in fleet.ports_by_deployment.items():
-        say(f"{name}: config {ports['config_url']} live list {ports['live_url']}")
+        print_now(f"{name}: config {ports['config_url']} live list {ports['live_url']}")
     for item in deployed:
         request = next(each for each in item.requests if each.model and each.stream)
-        say(
+        print_now(
             f"curl -N http://{item.caller.addresses[0]}/v1/completions "
             f"-H 'Authorization: Bearer {request.token}' "
             f"-H 'Content-Type: application/json' -d '{request.body}'"
@@ -147,10 +149,10 @@
 
 
 async def run(folder: Path, stay: bool, examples: Path) -> int:
-    """Run everything; return the exit code."""
+    """Run the sample load; return the exit code."""
     fleet = Fleet(folder)
     try:
-        say("starting the stand-ins of both deployments")
+        print_now("starting the stand-ins of both deployments")
         await fleet.start_standins("both", examples, CENTRES)
         names = list(DEPLOYMENTS_BY_NAME)
         for name in names:
@@ -159,28 +161,28 @@
             *(deploy(fleet, name, examples) for name in names)
         )
         results = await send_load(deployed)
-        judged = [
-            await judge(fleet, name, each)
+        outcomes = [
+            await check_runs(fleet, name, each)
             for name, each in zip(names, results, strict=True)
         ]
-        for item in judged:
-            show(item)
-        every = [result for item in judged for result in item.results]
-        doubled = [fault for item in judged for fault in item.doubled]
+        for item in outcomes:
+            print_outcome(item)
+        all_results = [result for item in outcomes for result in item.results]
+        violations = [fault for item in outcomes for fault in item.violations]
         if stay:
-            show_addresses(fleet, deployed)
-        say(format_summary(every, doubled))
+            print_addresses(fleet, deployed)
+        print_now(format_summary(all_results, violations))
         if stay:
-            say("it stays up until Ctrl-C")
+            print_now("it stays up until Ctrl-C")
             await asyncio.Event().wait()
-        lost = any(item.verdict is Verdict.LOST for item in every)
-        return 1 if lost or doubled else 0
+        lost = any(item.verdict is Verdict.LOST for item in all_results)
+        return 1 if lost or violations else 0
     finally:
         await fleet.stop()
 
 
 async def run_until_signal(stay: bool, examples: Path) -> int:
-    """Run in a folder of its own; a signal ends every process first."""
+    """Run in a temporary folder; on a signal, stop all processes first."""
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stopping.set)
@@ -195,11 +197,10 @@
 async def run_or_stop(
     folder: Path, stay: bool, examples: Path, stopping: asyncio.Event
 ) -> int:
-    """Run, and cancel the run once if it is told to stop.
+    """Run, and cancel the run once when ``stopping`` is set.
 
-    Guards against a second signal (a second Ctrl-C) that would interrupt the
-    ending of the processes and leave them behind: the event is set already,
-    so only the first signal cancels anything.
+    A second signal has no effect: cancelling the cleanup as well would leave
+    processes behind.
     """
     running = asyncio.ensure_future(run(folder, stay, examples))
     stopped = asyncio.ensure_future(stopping.wait())
@@ -210,7 +211,7 @@
     running.cancel()
     await asyncio.wait({running})
     if running.cancelled():
-        return 0 if stay else EXIT_STOPPED
+        return 0 if stay else EXIT_INTERRUPTED
     return running.result()
 
 
@@ -220,7 +221,7 @@
 
 
 def main() -> None:
-    """Read the command line."""
+    """Run the command line interface."""
     fire.Fire(start, name="run")
 
 
--- a/standins/server.py
+++ b/standins/server.py
@@ -1,4 +1,4 @@
-"""Serve a stand-in over HTTP on a free loopback port."""
+"""HTTP server of a stand-in on a free loopback port."""
 
 import asyncio
 import json
@@ -10,19 +10,19 @@
 from tornado.netutil import bind_sockets
 from tornado.web import Application, RequestHandler
 
-__all__ = ["Misbehaviour", "Route", "Server", "StandIn", "StandInHandler"]
+__all__ = ["ConnectionFaults", "Route", "Server", "StandIn", "StandInHandler"]
 
 LOOPBACK = "127.0.0.1"
 Route = tuple[str, type["StandInHandler"]]
 
 
-class Misbehaviour:
-    """Count down what a stand-in was told to do wrong at its connections.
+class ConnectionFaults:
+    """Connection faults that a stand-in injects.
 
-    ``down`` closes every connection, open or new, unanswered. ``swallow`` is
-    how many of the next requests are never seen nor answered, and ``mute``
-    how many are carried out without ever an answer. ``silence_open`` makes
-    every connection that is open now go silent for good, while new ones work.
+    ``down`` closes all open and new connections without a response. The next
+    ``swallow`` requests are dropped without running, and the next ``mute``
+    requests run without a response. ``silence_open`` makes all connections
+    that are open at that time unresponsive.
     """
 
     def __init__(self) -> None:
@@ -30,53 +30,53 @@
         self.swallow = 0
         self.mute = 0
         self.open_streams: set[Any] = set()
-        self.silent_streams: set[Any] = set()
-
-    def control(self, orders: dict[str, Any]) -> None:
-        """Take the orders that concern connections."""
-        if orders.get("down") and not self.down:
-            self._close_open()
-        self.down = bool(orders.get("down", self.down))
-        self.swallow = int(orders.get("swallow", self.swallow))
-        self.mute = int(orders.get("mute", self.mute))
-        if orders.get("silence_open"):
-            self.silent_streams |= self.open_streams
-
-    def remember(self, stream: Any) -> None:
-        """Note a connection until it closes."""
+        self.unresponsive_streams: set[Any] = set()
+
+    def control(self, commands: dict[str, Any]) -> None:
+        """Apply the commands for connection faults."""
+        if commands.get("down") and not self.down:
+            self._close_streams()
+        self.down = bool(commands.get("down", self.down))
+        self.swallow = int(commands.get("swallow", self.swallow))
+        self.mute = int(commands.get("mute", self.mute))
+        if commands.get("silence_open"):
+            self.unresponsive_streams |= self.open_streams
+
+    def track_stream(self, stream: Any) -> None:
+        """Track a connection until it closes."""
         self.open_streams.add(stream)
 
-    def _close_open(self) -> None:
+    def _close_streams(self) -> None:
         for stream in self.open_streams:
             stream.close()
 
-    def forget_closed(self) -> None:
-        """Drop what is known of closed connections."""
+    def discard_closed_streams(self) -> None:
+        """Stop tracking closed connections."""
         closed = {stream for stream in self.open_streams if stream.closed()}
         self.open_streams -= closed
-        self.silent_streams -= closed
+        self.unresponsive_streams -= closed
 
 
 class StandIn(Protocol):
-    """Describe what each stand-in offers to tests."""
+    """Interface of all stand-ins."""
 
-    misbehaviour: Misbehaviour
+    connection_faults: ConnectionFaults
 
-    def control(self, orders: dict[str, Any]) -> None:
-        """Misbehave as told."""
+    def control(self, commands: dict[str, Any]) -> None:
+        """Apply the stand-in's own commands."""
 
     def journal(self) -> dict[str, Any]:
-        """Return what was seen so far."""
+        """Return the recorded calls."""
 
 
 class StandInHandler(RequestHandler):
-    """Answer one request of a stand-in, or misbehave."""
+    """Base class of handlers that applies the connection faults."""
 
     standin: Any
     muted = False
 
     def initialize(self, standin: StandIn) -> None:
-        """Receive the stand-in."""
+        """Set the stand-in."""
         self.standin = standin
         self.closed = asyncio.Event()
 
@@ -86,43 +86,46 @@
         return cast(Any, self.request.connection).stream
 
     @property
-    def is_silent(self) -> bool:
-        """Tell whether this connection must not answer any more."""
-        return self.muted or self.stream in self.standin.misbehaviour.silent_streams
+    def is_unresponsive(self) -> bool:
+        """Return whether this connection must not send a response."""
+        return (
+            self.muted
+            or self.stream in self.standin.connection_faults.unresponsive_streams
+        )
 
     async def prepare(self) -> None:
-        """Apply what was ordered for the connection as a whole."""
+        """Apply the connection faults."""
         if self.request.path in ("/control", "/journal"):
             return
-        misbehaviour: Misbehaviour = self.standin.misbehaviour
-        misbehaviour.forget_closed()
-        misbehaviour.remember(self.stream)
-        if misbehaviour.down:
-            self.break_off()
+        connection_faults: ConnectionFaults = self.standin.connection_faults
+        connection_faults.discard_closed_streams()
+        connection_faults.track_stream(self.stream)
+        if connection_faults.down:
+            self.drop_connection()
             return
-        if misbehaviour.swallow > 0:
-            misbehaviour.swallow -= 1
-            misbehaviour.silent_streams.add(self.stream)
-        if self.is_silent:
-            await self.stay_silent()
+        if connection_faults.swallow > 0:
+            connection_faults.swallow -= 1
+            connection_faults.unresponsive_streams.add(self.stream)
+        if self.is_unresponsive:
+            await self.hold_unanswered()
             return
-        if misbehaviour.mute > 0:
-            misbehaviour.mute -= 1
+        if connection_faults.mute > 0:
+            connection_faults.mute -= 1
             self.muted = True
 
-    def break_off(self) -> None:
-        """Close the connection without an answer."""
+    def drop_connection(self) -> None:
+        """Close the connection without a response."""
         self.stream.close()
         self._finished = True
 
-    async def stay_silent(self) -> None:
-        """Leave the connection open and unanswered until it is closed."""
+    async def hold_unanswered(self) -> None:
+        """Keep the connection open without a response until it is closed."""
         if not self.stream.closed():
             await self.closed.wait()
         self._finished = True
 
     def on_connection_close(self) -> None:
-        """Note that the other side has closed the connection."""
+        """Wake ``hold_unanswered``."""
         self.closed.set()
 
     def read_json(self) -> dict[str, Any]:
@@ -130,10 +133,10 @@
         body = json.loads(self.request.body or b"{}")
         return body if isinstance(body, dict) else {}
 
-    async def answer(self, status: int, body: dict[str, Any]) -> None:
-        """Send a JSON answer unless the connection is silent."""
-        if self.is_silent:
-            await self.stay_silent()
+    async def respond(self, status: int, body: dict[str, Any]) -> None:
+        """Send a JSON response unless the connection is unresponsive."""
+        if self.is_unresponsive:
+            await self.hold_unanswered()
             return
         self.set_status(status)
         try:
@@ -143,35 +146,35 @@
 
 
 class ControlHandler(StandInHandler):
-    """Take orders to misbehave."""
+    """Receive control commands."""
 
     async def post(self) -> None:
-        """Apply a JSON object of orders."""
-        orders = self.read_json()
-        self.standin.misbehaviour.control(orders)
-        self.standin.control(orders)
-        await self.answer(200, {})
+        """Apply a JSON object of commands."""
+        commands = self.read_json()
+        self.standin.connection_faults.control(commands)
+        self.standin.control(commands)
+        await self.respond(200, {})
 
 
 class JournalHandler(StandInHandler):
-    """Show what the stand-in saw."""
+    """Serve the stand-in's journal."""
 
     async def get(self) -> None:
-        """Answer with the journal."""
-        await self.answer(200, self.standin.journal())
+        """Respond with the journal."""
+        await self.respond(200, self.standin.journal())
 
 
 class Server:
-    """Listen for one stand-in."""
+    """The HTTP server of one stand-in."""
 
     def __init__(self, standin: StandIn, routes: Iterable[Route]) -> None:
         shared = {"standin": standin}
-        every: Sequence[Any] = [
+        all_routes: Sequence[Any] = [
             ("/control", ControlHandler, shared),
             ("/journal", JournalHandler, shared),
             *((pattern, handler, shared) for pattern, handler in routes),
         ]
-        application = Application(list(every), log_function=lambda handler: None)
+        application = Application(list(all_routes), log_function=lambda handler: None)
         self._http = HTTPServer(application)
         self._sockets = bind_sockets(0, LOOPBACK)
         self._http.add_sockets(self._sockets)
--- a/standins/tokens.py
+++ b/standins/tokens.py
@@ -1,4 +1,4 @@
-"""The text that a stand-in engine generates."""
+"""Deterministic text of a stand-in engine."""
 
 import xxhash
 
@@ -8,8 +8,8 @@
 def token_text(model: str, prompt: str, position: int) -> str:
     """Return one token: a pure function of adapter, prompt and position.
 
-    So whoever sent the prompt can tell whether an answer is whole, in order,
-    its own, and of the right adapter and version.
+    A caller can thus verify that a completion is complete, in order, for its
+    prompt, and of the right adapter and version.
 
     >>> token_text("a@1", "hello", 0) == token_text("a@1", "hello", 0)
     True
@@ -21,5 +21,5 @@
 
 
 def expected_text(model: str, prompt: str, tokens: int) -> str:
-    """Return the whole answer of a number of tokens."""
+    """Return the complete text of a number of tokens."""
     return "".join(token_text(model, prompt, number) for number in range(tokens))
--- a/standins/trees.py
+++ b/standins/trees.py
@@ -1,4 +1,4 @@
-"""Read a folder of tree parts, and what the sample load needs of them."""
+"""Read the parts of a tree from a folder, for the sample load."""
 
 import re
 from dataclasses import dataclass
@@ -15,19 +15,19 @@
 __all__ = ["Tree", "find_token", "read_tree"]
 
 V = TypeVar("V")
-WORD = re.compile(r"[A-Za-z0-9._~+/-]+=*")
+TOKEN_PATTERN = re.compile(r"[A-Za-z0-9._~+/-]+=*")
 
 
 @dataclass(frozen=True, slots=True)
 class Tree:
-    """The parts of one tree as published and as understood."""
+    """The parts of a tree, as published and as parsed."""
 
     contents_by_part: dict[str, bytes]
     models: tuple[TreePartModel, ...]
     intent: CompactIntent
 
-    def adapters(self, path: str) -> list[str]:
-        """Return the adapters of ``SHOP/SERVICE`` by name."""
+    def list_adapters(self, path: str) -> list[str]:
+        """Return the names of the adapters of ``SHOP/SERVICE``."""
         return [
             name
             for model in self.models
@@ -37,10 +37,10 @@
 
 
 def read_tree(folder: Path) -> Tree:
-    """Read each ``*.ini`` of a folder as one part; raises ``ValueError``."""
+    """Read each ``*.ini`` of a folder as a part; raise ``ValueError``."""
     contents = {path.stem: path.read_bytes() for path in sorted(folder.glob("*.ini"))}
     if not contents:
-        raise ValueError(f"{folder.name}: no parts")
+        raise ValueError(f"{folder.name}: no *.ini files found")
     models = [_unwrap(parse_part(*item)) for item in contents.items()]
     return Tree(contents, tuple(models), _unwrap(build_intent(1, models)))
 
@@ -52,8 +52,8 @@
 
 
 def find_token(tree: Tree, shop: str, text: str) -> str | None:
-    """Return the word of a text that is a token of the shop."""
-    for word in WORD.findall(text):
+    """Return the first word of a text that is a token of the shop."""
+    for word in TOKEN_PATTERN.findall(text):
         if tree.intent.authenticate(word) == shop:
             return str(word)
     return None
--- a/standins/weight_store.py
+++ b/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the weight store, whose rate is shared by all that fetch."""
+"""Stand-in for the weight store; concurrent fetches share its rate."""
 
 import asyncio
 import time
@@ -6,18 +6,18 @@
 from dataclasses import dataclass
 from typing import Any
 
-from standins.server import Misbehaviour, Server, StandInHandler
+from standins.server import ConnectionFaults, Server, StandInHandler
 
 __all__ = ["WeightStore", "start_weight_store"]
 
-DONE = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 
 
 @dataclass(eq=False, slots=True)
 class Fetch:
-    """One fetch in progress; ``left`` is the share still to come."""
+    """A fetch in progress; ``remaining`` is the share not yet fetched."""
 
-    left: float = 1.0
+    remaining: float = 1.0
 
 
 class WeightStore:
@@ -25,37 +25,39 @@
 
     def __init__(self, loads_per_s: float) -> None:
         self.loads_per_s = loads_per_s
-        self.misbehaviour = Misbehaviour()
+        self.connection_faults = ConnectionFaults()
         self.fetches: set[Fetch] = set()
         self.counts_by_model: Counter[str] = Counter()
-        self.most_at_once = 0
-        self.failing = 0
+        self.max_concurrent_fetches = 0
+        self.failures_left = 0
         self._updated = time.monotonic()
         self._changed = asyncio.Event()
 
-    def control(self, orders: dict[str, Any]) -> None:
-        """Take ``loads_per_s`` and ``fail``, a number of fetches."""
+    def control(self, commands: dict[str, Any]) -> None:
+        """Apply ``loads_per_s`` and ``fail``, how many fetches fail."""
         self._advance()
-        self.loads_per_s = float(orders.get("loads_per_s", self.loads_per_s))
-        self.failing = int(orders.get("fail", self.failing))
+        self.loads_per_s = float(commands.get("loads_per_s", self.loads_per_s))
+        self.failures_left = int(commands.get("fail", self.failures_left))
         self._wake()
 
     def journal(self) -> dict[str, Any]:
-        """Return the number of fetches by model."""
+        """Return the fetch counts by model and the highest concurrency."""
         return {
             "counts_by_model": dict(self.counts_by_model),
-            "most_at_once": self.most_at_once,
+            "most_at_once": self.max_concurrent_fetches,
         }
 
     async def fetch(self, model: str) -> bool:
-        """Wait for one model's weights; return whether they came."""
+        """Fetch a model's weights; return whether that succeeded."""
         self._advance()
         self.counts_by_model[model] += 1
-        fails = self.failing > 0
-        self.failing -= 1 if fails else 0
-        fetch = Fetch(left=0.5 if fails else 1.0)
+        fails = self.failures_left > 0
+        self.failures_left -= 1 if fails else 0
+        fetch = Fetch(remaining=0.5 if fails else 1.0)
         self.fetches.add(fetch)
-        self.most_at_once = max(self.most_at_once, len(self.fetches))
+        self.max_concurrent_fetches = max(
+            self.max_concurrent_fetches, len(self.fetches)
+        )
         self._wake()
         try:
             await self._wait(fetch)
@@ -66,11 +68,11 @@
         return not fails
 
     async def _wait(self, fetch: Fetch) -> None:
-        while fetch.left > DONE:
+        while fetch.remaining > ROUNDING_TOLERANCE:
             changed = self._changed
             share = self.loads_per_s / len(self.fetches)
             try:
-                async with asyncio.timeout(fetch.left / share):
+                async with asyncio.timeout(fetch.remaining / share):
                     await changed.wait()
             except TimeoutError:
                 pass
@@ -84,7 +86,7 @@
             return
         done = elapsed * self.loads_per_s / len(self.fetches)
         for fetch in self.fetches:
-            fetch.left -= done
+            fetch.remaining -= done
 
     def _wake(self) -> None:
         self._changed.set()
@@ -92,14 +94,14 @@
 
 
 class FetchHandler(StandInHandler):
-    """Answer when the weights have come."""
+    """Respond when a fetch ends."""
 
     async def post(self) -> None:
         """Fetch one model."""
         if await self.standin.fetch(str(self.read_json().get("model", ""))):
-            await self.answer(200, {})
+            await self.respond(200, {})
             return
-        await self.answer(502, {"error": "fetch_failed"})
+        await self.respond(502, {"error": "fetch_failed"})
 
 
 async def start_weight_store(loads_per_s: float) -> tuple[WeightStore, Server]:
--- a/tests/components/engine/test_driver.py
+++ b/tests/components/engine/test_driver.py
@@ -140,7 +140,7 @@
         """
 
         async def story(bed: Bed) -> None:
-            bed.engine.misbehaviour.down = True
+            bed.engine.connection_faults.down = True
             for stream in (True, False):
                 call = make_call(stream=stream)
                 outcome = await bed.driver.dispatch(call, bed.on_chunk)
@@ -175,7 +175,7 @@
         """
 
         async def story(bed: Bed) -> None:
-            bed.engine.misbehaviour.mute = 1
+            bed.engine.connection_faults.mute = 1
             outcome = await bed.driver.dispatch(make_call(stream=False), bed.on_chunk)
             assert outcome.failure is None
             text = json.loads(bed.chunks[0][1])["choices"][0]["text"]
@@ -280,7 +280,7 @@
 
     def test_unreachable_engine_has_no_report(self) -> None:
         async def story(bed: Bed) -> None:
-            bed.engine.misbehaviour.down = True
+            bed.engine.connection_faults.down = True
             assert await bed.driver.report(0.5) is None
 
         run(story)
--- a/tests/daemons/common.py
+++ b/tests/daemons/common.py
@@ -20,7 +20,7 @@
 from fescuekeel.messages import LiveEntry, LiveRole, Member
 from standins.config_service import ConfigService, start_config_service
 from standins.fleet import SETTINGS, free_addresses
-from standins.journals import count_runs, find_doubled
+from standins.journals import count_runs, find_run_violations
 from standins.live_list import Entry, LiveListService, start_live_list
 from standins.load import Result, Verdict
 from standins.platform import Platform
@@ -266,7 +266,7 @@
             if item.verdict is Verdict.LOST
         ]
         assert lost == [], lost
-        doubled = find_doubled(results, count_runs(journals))
+        doubled = find_run_violations(results, count_runs(journals))
         assert doubled == [], doubled
         violations = [
             (id, engine.settings.fenced, violation, engine.orders[-10:])
--- a/tests/daemons/load.py
+++ b/tests/daemons/load.py
@@ -95,7 +95,7 @@
         timeout_s=CALLER_TIMEOUT_S,
         repeatable=service not in ("quote", "charge"),
         model=f"{service}/{adapter}" if adapter else "",
-        runs_on=f"{adapter}@1" if adapter else "",
+        served_by=f"{adapter}@1" if adapter else "",
         prompt=f"{marker} for {adapter}" if adapter else "",
         max_tokens=tokens,
         stream=service in ("patter", "report") and number % 3 != 0,
--- a/tests/daemons/test_network.py
+++ b/tests/daemons/test_network.py
@@ -76,8 +76,10 @@
                 await load.until_more(20)
                 engines = list(world.platform.engines_by_id.values())
                 for engine in engines:
-                    engine.misbehaviour.control({"silence_open": True})
-                assert sum(len(item.misbehaviour.silent_streams) for item in engines)
+                    engine.connection_faults.control({"silence_open": True})
+                assert sum(
+                    len(item.connection_faults.unresponsive_streams) for item in engines
+                )
                 await load.until_more(40)
                 results = await load.stop()
                 world.check(results)
@@ -165,16 +167,16 @@
                 load = world.send_load()
                 engine = world.platform.engines_by_id["fenced-0"]
                 await load.until_more(40)
-                assert any(not item.finished for item in engine.runs)
+                assert any(not item.finished_at for item in engine.runs)
                 world.platform.live.control({"leave": ["fenced-0"]})
                 left = time.monotonic()
                 await asyncio.sleep(LEAVING_BOUND_S + 1.0)
                 await load.until_more(20)
                 results = await load.stop()
                 world.check(results)
-                accepted = [item.accepted - left for item in engine.runs]
+                accepted = [item.accepted_at - left for item in engine.runs]
                 assert max(accepted) <= LEAVING_BOUND_S
-                unfinished = [item for item in engine.runs if not item.finished]
+                unfinished = [item for item in engine.runs if not item.finished_at]
                 assert unfinished == []
                 await eventually(lambda: not engine.running)
 
--- a/tests/daemons/test_tree.py
+++ b/tests/daemons/test_tree.py
@@ -94,7 +94,7 @@
                     return any([await world.count(item, name) for item in daemons])
 
                 await wait_until(is_noticed, NOTICED_BOUND_S)
-                config.misbehaviour.control({"down": True})
+                config.connection_faults.control({"down": True})
                 replaced = world.daemons_by_id["i2"]
                 replaced.process.kill()
                 await replaced.process.wait()
--- a/tests/platform/test_explain.py
+++ b/tests/platform/test_explain.py
@@ -82,7 +82,7 @@
         async def work():
             async with start_world(1) as world:
                 for worker in world.platform.list_workers(PLAIN):
-                    worker.misbehaviour.down = True
+                    worker.connection_faults.down = True
                 with capture_log() as lines:
                     answer, id = await world.send_request("/charge/x", method="POST")
                     assert answer.code == 502
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -203,7 +203,7 @@
         async def work():
             async with start_world(1) as world:
                 for worker in world.platform.list_workers(PLAIN):
-                    worker.misbehaviour.down = True
+                    worker.connection_faults.down = True
                 answer, _ = await world.send_request("/charge/x", method="POST")
                 assert answer.code == 502
 
@@ -225,7 +225,7 @@
                 bus = world.instances[0].bus
                 await eventually(lambda: bus.latest(Catalog).configuration.version == 2)
                 for worker in world.platform.list_workers(PLAIN):
-                    worker.misbehaviour.swallow = 1
+                    worker.connection_faults.swallow = 1
                 start = asyncio.get_running_loop().time()
                 answer, _ = await world.send_request("/slow/x", method="POST")
                 assert answer.code == 504
@@ -331,7 +331,7 @@
                     )
                     ids = re.findall(rb"id: (\d)", answer.body)
                     assert ids == [b"1", b"2", b"3", b"4", b"5", b"6"]
-                assert worker.stopped == 1
+                assert worker.aborted_streams == 1
 
         run(work)
 
@@ -457,7 +457,7 @@
     def test_store_is_listed_again_after_lost_history(self):
         async def work():
             async with start_world(1) as world:
-                world.platform.store.forget_history()
+                world.platform.store.compact_history()
                 added = make_route("added", "safe", PLAIN)
                 world.platform.store.put("op/config", make_configuration(2, added))
                 bus = world.instances[0].bus
--- a/tests/standins/common.py
+++ b/tests/standins/common.py
@@ -10,17 +10,17 @@
 
 from standins.server import Server
 
-LIMIT_S = 20.0
-NO_ANSWER = 599
+TIMEOUT_S = 20.0
+NO_RESPONSE = 599
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
-    """Run one test, bounded."""
-    asyncio.run(asyncio.wait_for(work, LIMIT_S))
+    """Run a test with a time limit."""
+    asyncio.run(asyncio.wait_for(work, TIMEOUT_S))
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait until a stand-in has come to a state."""
+    """Poll until a condition holds."""
     while True:
         if condition():
             return
@@ -45,18 +45,18 @@
     ) -> tuple[int, dict[str, Any]]:
         url = self.server.url + path
         try:
-            answer = await self.http.fetch(
+            response = await self.http.fetch(
                 url, method=method, body=body, raise_error=False, **options
             )
         except (HTTPError, OSError):
-            return NO_ANSWER, {}
-        return answer.code, json.loads(answer.body or b"{}")
+            return NO_RESPONSE, {}
+        return response.code, json.loads(response.body or b"{}")
 
     async def stream(self, path: str, **body: Any) -> list[dict[str, Any]]:
-        answer = await self.http.fetch(
+        response = await self.http.fetch(
             self.server.url + path, method="POST", body=json.dumps(body)
         )
-        return parse_events(answer.body)
+        return parse_events(response.body)
 
 
 def parse_events(body: bytes) -> list[dict[str, Any]]:
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -11,15 +11,15 @@
 from standins.weight_store import start_weight_store
 from tests.standins.common import Client, run, until
 
-Story = Callable[[Engine, Client], Awaitable[None]]
+Scenario = Callable[[Engine, Client], Awaitable[None]]
 
 
-def with_engine(story: Story, **settings: Any) -> None:
+def with_engine(scenario: Scenario, **settings: Any) -> None:
     async def work() -> None:
         engine, server = await start_engine(EngineSettings(step_ms=1, **settings))
         engine.control({"loaded": ["a@1"]})
         try:
-            await story(engine, Client(server))
+            await scenario(engine, Client(server))
         finally:
             engine.stop()
             await server.stop()
@@ -38,8 +38,8 @@
 
 
 class TestCompletions:
-    def test_whole_and_streamed_answers_agree(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
+    def test_streamed_and_unstreamed_responses_agree(self) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
             status, whole = await client.post("/v1/completions", **order("r"))
             events = await client.stream("/v1/completions", **order("r", stream=True))
             assert status == 200
@@ -49,73 +49,77 @@
             assert [event["position"] for event in events] == list(range(5))
             assert [item["tokens"] for item in engine.journal()["runs"]] == [5, 5]
 
-        with_engine(story)
+        with_engine(scenario)
 
-    def test_refuses_what_is_not_loaded_and_when_full(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
-            answer = await client.post("/v1/completions", **order("r", model="b@1"))
-            assert answer == (404, {"error": "not_loaded"})
+    def test_rejects_unloaded_adapters_and_when_full(self) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
+            response = await client.post("/v1/completions", **order("r", model="b@1"))
+            assert response == (404, {"error": "not_loaded"})
             first = asyncio.ensure_future(
                 client.post("/v1/completions", **order("r1", max_tokens=400))
             )
             await until(lambda: engine.running)
-            answer = await client.post("/v1/completions", **order("r2"))
-            assert answer == (503, {"error": "full"})
+            response = await client.post("/v1/completions", **order("r2"))
+            assert response == (503, {"error": "full"})
             assert await client.post("/v1/cancel", request_id="r1") == (
                 200,
                 {"cancelled": True},
             )
             assert (await first)[0] == 500
 
-        with_engine(story, max_running=1, max_waiting=0)
+        with_engine(scenario, max_running=1, max_waiting=0)
 
     def test_lowest_priority_number_runs_first(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
             engine.submit("long", "a@1", "p", 50, 0)
-            engine.submit("lazy", "a@1", "p", 1, 5)
-            engine.submit("urgent", "a@1", "p", 1, 0)
+            engine.submit("low", "a@1", "p", 1, 5)
+            engine.submit("high", "a@1", "p", 1, 0)
             await until(lambda: not engine.running and not engine.waiting)
-            started = {item.request_id: item.started for item in engine.runs}
-            assert started["long"] < started["urgent"] < started["lazy"]
+            started = {item.request_id: item.started_at for item in engine.runs}
+            assert started["long"] < started["high"] < started["low"]
 
-        with_engine(story, max_running=1)
+        with_engine(scenario, max_running=1)
 
     def test_resumes_by_position(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
             await client.post("/v1/completions", **order("r"))
             events = await client.stream("/v1/resume", request_id="r", position=3)
             assert [event["position"] for event in events] == [3, 4]
             engine.restart()
-            answer = await client.post("/v1/resume", request_id="r", position=0)
-            assert answer == (404, {"error": "unknown_request"})
+            response = await client.post("/v1/resume", request_id="r", position=0)
+            assert response == (404, {"error": "unknown_request"})
 
-        with_engine(story)
+        with_engine(scenario)
 
 
 class TestOrders:
-    def test_refuses_a_stale_fence(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
+    def test_rejects_a_stale_fencing_token(self) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
             assert (await client.post("/v1/completions", **order("r", fence=7)))[0]
-            answer = await client.post("/v1/unload_lora_adapter", model="a@1", fence=6)
-            assert answer == (409, {"error": "stale_fence", "fence": 7})
+            response = await client.post(
+                "/v1/unload_lora_adapter", model="a@1", fence=6
+            )
+            assert response == (409, {"error": "stale_fence", "fence": 7})
             assert "a@1" in engine.loaded
             assert engine.stale_refusals == 1
             assert (await client.get("/v1/report"))[1]["fence"] == 7
 
-        with_engine(story)
+        with_engine(scenario)
 
-    def test_an_unfenced_engine_obeys_and_the_violation_is_counted(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
+    def test_unfenced_engine_evicts_and_counts_the_violation(self) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
             running = asyncio.ensure_future(
                 client.post("/v1/completions", **order("r", max_tokens=400, fence=7))
             )
             await until(lambda: engine.running)
-            answer = await client.post("/v1/unload_lora_adapter", model="a@1", fence=6)
-            assert answer[0] == 200
+            response = await client.post(
+                "/v1/unload_lora_adapter", model="a@1", fence=6
+            )
+            assert response[0] == 200
             assert await running == (500, {"error": "evicted"})
             assert len(engine.evictions_while_serving) == 1
 
-        with_engine(story, fenced=False)
+        with_engine(scenario, fenced=False)
 
     def test_loads_share_the_store_and_the_slots(self) -> None:
         async def work() -> None:
@@ -128,8 +132,8 @@
             answers = await asyncio.gather(
                 *(client.post("/v1/load_lora_adapter", model=model) for model in models)
             )
-            # Four connections at once may be served in any order: the first
-            # two models get the slots, and both asks for one of them share it.
+            # The four requests may be served in any order: the first two
+            # models get the slots, and requests for one model share a load.
             statuses_by_model: dict[str, set[int]] = {}
             for model, (status, _) in zip(models, answers, strict=True):
                 statuses_by_model.setdefault(model, set()).add(status)
@@ -141,8 +145,8 @@
             ]
             assert (len(loaded), len(refused)) == (2, 1)
             assert store.counts_by_model == dict.fromkeys(loaded, 1)
-            assert store.most_at_once == 2
-            # Two at once at 20 a second take a tenth of a second each.
+            assert store.max_concurrent_fetches == 2
+            # Two concurrent loads at 20 loads/s take 0.1 s each.
             assert all(body["took_ms"] >= 90 for code, body in answers if code == 200)
             engine.stop()
             await server.stop()
@@ -151,18 +155,18 @@
         run(work())
 
     def test_a_failed_load_frees_its_slot(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
             await client.post("/control", fail_loads=1)
             for status in (502, 200):
-                answer = await client.post("/v1/load_lora_adapter", model="b@1")
-                assert answer[0] == status
+                response = await client.post("/v1/load_lora_adapter", model="b@1")
+                assert response[0] == status
 
-        with_engine(story, slots=2)
+        with_engine(scenario, slots=2)
 
 
-class TestMisbehaviour:
-    def test_a_cold_restart_loses_everything(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
+class TestFaults:
+    def test_cold_restart_loses_all_state(self) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
             boot_id = (await client.get("/v1/report"))[1]["boot_id"]
             running = asyncio.ensure_future(
                 client.post("/v1/completions", **order("r", max_tokens=400))
@@ -175,30 +179,30 @@
             assert report["loaded"] == report["running"] == []
             assert engine.journal()["runs"][0]["outcome"] == "restarted"
 
-        with_engine(story)
+        with_engine(scenario)
 
-    def test_a_stream_goes_silent_and_a_new_connection_works(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
+    def test_stream_turns_unresponsive_and_a_new_connection_works(self) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
             await client.post("/control", silent_streams=1, silent_after=2)
-            pieces: list[bytes] = []
+            chunks: list[bytes] = []
             body = '{"request_id": "r", "model": "a@1", "max_tokens": 5, "stream": 1}'
             status, _ = await client.call(
                 "POST",
                 "/v1/completions",
                 body,
                 request_timeout=0.3,
-                streaming_callback=pieces.append,
+                streaming_callback=chunks.append,
             )
             assert status == 599
-            assert b"".join(pieces).count(b"data: ") == 2
+            assert b"".join(chunks).count(b"data: ") == 2
             events = await client.stream("/v1/resume", request_id="r", position=2)
             assert len(events) == 3
 
-        with_engine(story)
+        with_engine(scenario)
 
-    def test_open_connections_go_silent_or_down(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
-            for orders, works_after in (
+    def test_open_connections_turn_unresponsive_or_close(self) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
+            for commands, works_after in (
                 ({"silence_open": True}, 200),
                 ({"down": True}, 599),
             ):
@@ -207,37 +211,37 @@
                     client.call("POST", "/v1/completions", body, request_timeout=1)
                 )
                 await until(lambda: engine.running)
-                await client.post("/control", **orders)
+                await client.post("/control", **commands)
                 assert (await client.get("/v1/report"))[0] == works_after
                 assert (await first)[0] == 599
 
-        with_engine(story)
+        with_engine(scenario)
 
-    def test_swallows_or_mutes_single_requests(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
+    def test_drops_single_requests_or_responses(self) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
             body = '{"request_id": "r", "model": "a@1", "max_tokens": 1}'
             for fault, runs in (("swallow", 0), ("mute", 1)):
                 await client.post("/control", **{fault: 1})
                 path = "/v1/completions"
-                answer = await client.call("POST", path, body, request_timeout=0.2)
-                assert answer[0] == 599
+                response = await client.call("POST", path, body, request_timeout=0.2)
+                assert response[0] == 599
                 assert len(engine.runs) == runs
                 assert (await client.get("/v1/report"))[0] == 200
 
-        with_engine(story)
+        with_engine(scenario)
 
-    def test_the_report_lags(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
+    def test_report_is_cached_for_its_lag(self) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
             await client.get("/v1/report")
             engine.loaded["b@1"] = None
             assert (await client.get("/v1/report"))[1]["loaded"] == ["a@1"]
             engine.settings.report_lag_s = 0.0
             assert (await client.get("/v1/report"))[1]["loaded"] == ["a@1", "b@1"]
 
-        with_engine(story, report_lag_s=60.0)
+        with_engine(scenario, report_lag_s=60.0)
 
-    def test_cache_events_come_with_gaps(self) -> None:
-        async def story(engine: Engine, client: Client) -> None:
+    def test_cache_events_have_gaps(self) -> None:
+        async def scenario(engine: Engine, client: Client) -> None:
             for prompt in ("p0", "p1", "p2"):
                 engine.submit(prompt, "a@1", prompt, 1, 0)
             await until(lambda: len(engine.cache.events) == 5)
@@ -246,4 +250,4 @@
             assert kinds == [(1, "stored"), (3, "stored"), (4, "removed")]
             assert shown["next"] == 5
 
-        with_engine(story, cached_prefixes=1, gap_every=3)
+        with_engine(scenario, cached_prefixes=1, gap_every=3)
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of how processes of a run get their addresses."""
+"""Tests of the address allocation for processes."""
 
 import socket
 
@@ -6,11 +6,10 @@
 
 
 class TestFreeAddresses:
-    def test_no_outgoing_connection_can_take_them(self):
-        """A daemon ends at its start: its address is in use already.
+    def test_outgoing_connections_cannot_take_the_ports(self):
+        """Guards against a daemon failing with "address already in use".
 
-        Its port was free when it was chosen. Before the daemon listens, some
-        other process connects out and the kernel gives it that very port.
+        An outgoing connection may take the port before the daemon binds it.
         """
         addresses = free_addresses(50) + free_addresses(50)
         ports = [int(address.split(":")[1]) for address in addresses]
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of the sample load and of what judges it."""
+"""Tests of the sample load and of the checks of its results."""
 
 import asyncio
 import hashlib
@@ -10,7 +10,7 @@
 
 from standins.engine_http import start_engine
 from standins.engine_state import EngineSettings
-from standins.journals import count_runs, find_doubled
+from standins.journals import count_runs, find_run_violations
 from standins.load import Caller, Result, SampleRequest, Verdict
 from standins.plain import start_plain
 from standins.plan import make_plan
@@ -54,7 +54,7 @@
         "timeout_s": 0.5,
         "repeatable": True,
         "model": "a@1",
-        "runs_on": "a@1",
+        "served_by": "a@1",
         "prompt": "sample-a-0001",
         "max_tokens": 5,
     }
@@ -67,17 +67,19 @@
 
 
 class TestCaller:
-    """An engine answers the callers' body too, so it is called directly."""
+    """Calls an engine directly; it accepts the body that callers send."""
 
     @pytest.mark.parametrize("stream", [False, True])
-    def test_only_the_right_whole_answer_counts(self, stream: bool) -> None:
+    def test_only_a_complete_and_correct_response_is_answered(
+        self, stream: bool
+    ) -> None:
         async def work() -> None:
             engine, server = await start_engine(EngineSettings(step_ms=1))
             engine.control({"loaded": ["a@1"]})
             caller = Caller([server.address])
             right = await caller.send(make_request(stream=stream))
-            wrong = await caller.send(make_request(stream=stream, runs_on="a@2"))
-            engine.misbehaviour.mute = 1
+            wrong = await caller.send(make_request(stream=stream, served_by="a@2"))
+            engine.connection_faults.mute = 1
             silent = await caller.send(make_request(stream=stream))
             cut = asyncio.ensure_future(
                 caller.send(make_request(stream=stream, max_tokens=400))
@@ -85,7 +87,7 @@
             await until(lambda: engine.running)
             engine.restart()
             assert right.verdict is Verdict.ANSWERED, right.detail
-            assert (right.first_s is not None) is stream
+            assert (right.first_chunk_s is not None) is stream
             assert wrong.detail == "answered by a@1, not a@2"
             assert silent.detail.startswith("no final answer")
             results = [right, wrong, silent, await cut]
@@ -98,7 +100,7 @@
 
         run(work())
 
-    def test_another_requests_plain_answer_is_lost(self) -> None:
+    def test_response_to_another_request_is_lost(self) -> None:
         async def work() -> None:
             _, server = await start_plain(delay_s=0)
             caller = Caller([server.address])
@@ -114,8 +116,8 @@
         run(work())
 
 
-class TestFindDoubled:
-    def test_counts_only_what_was_promised(self) -> None:
+class TestFindRunViolations:
+    def test_finds_only_runs_that_contradict_the_results(self) -> None:
         once = make_request(repeatable=False)
         answered = Result(once, Verdict.ANSWERED)
         refused = Result(once, Verdict.REFUSED, kind="queue_full", ran="no")
@@ -130,7 +132,7 @@
             ([unknown], 1, 0),
             ([answered, refused], 1, 0),
         ):
-            found = find_doubled(results, Counter({once.marker: runs}))
+            found = find_run_violations(results, Counter({once.marker: runs}))
             assert len(found) == expected, (results, runs)
 
     def test_counts_runs_of_both_kinds_of_endpoint(self) -> None:
@@ -142,13 +144,13 @@
 
 
 class TestPlan:
-    def test_draws_from_the_tree_and_the_same_again(self, tmp_path: Path) -> None:
+    def test_is_drawn_from_the_tree_and_deterministic(self, tmp_path: Path) -> None:
         tree = make_tree(tmp_path)
         text = f"The token of the shop is `{TOKEN}`."
         plan = make_plan("d", tree, text, 40, 10.0)
         assert plan == make_plan("d", tree, text, 40, 10.0)
         assert {item.token for item in plan} == {TOKEN}
-        assert {item.runs_on for item in plan} == {"roof@2", "wall@1.10", ""}
+        assert {item.served_by for item in plan} == {"roof@2", "wall@1.10", ""}
         assert {item.stream for item in plan} == {True, False}
         keys = Counter(item.key for item in plan if item.key)
         assert max(keys.values()) == 2
--- a/tests/standins/test_sample.py
+++ b/tests/standins/test_sample.py
@@ -1,4 +1,4 @@
-"""Tests of how a run ends."""
+"""Tests of stopping a run."""
 
 import asyncio
 from pathlib import Path
@@ -12,9 +12,7 @@
     def test_a_second_signal_leaves_no_process_behind(
         self, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
     ) -> None:
-        # Someone presses Ctrl-C twice, and the instances stay behind. The
-        # first signal cancels the run, which begins to end its processes; the
-        # second one cancelled that too, so the rest was never ended.
+        # Guards against a second Ctrl-C cancelling the cleanup of the run.
         ended = []
 
         async def run(folder: Path, stay: bool, examples: Path) -> int:
@@ -36,5 +34,5 @@
                 stopping.set()
             return await running
 
-        assert asyncio.run(work()) == sample.EXIT_STOPPED
+        assert asyncio.run(work()) == sample.EXIT_INTERRUPTED
         assert ended == [tmp_path]
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -1,4 +1,4 @@
-"""Tests of the other stand-ins."""
+"""Tests of the plain service, configuration service and live list."""
 
 import asyncio
 from dataclasses import asdict
@@ -10,7 +10,7 @@
 
 
 class TestPlainService:
-    def test_counts_runs_and_refusals_do_not_run(self) -> None:
+    def test_counts_runs_but_not_rejections(self) -> None:
         async def work() -> None:
             _, server = await start_plain(delay_s=0)
             client = Client(server)
@@ -18,8 +18,8 @@
             await client.post("/control", refuse=1, fail=1, break_after=1)
             codes = []
             for _ in range(4):
-                answer = await client.call("POST", "/charge", "{}", headers=headers)
-                codes.append(answer[0])
+                response = await client.call("POST", "/charge", "{}", headers=headers)
+                codes.append(response[0])
             assert codes == [503, 599, 500, 200]
             journal = (await client.get("/journal"))[1]
             assert journal["counts_by_id"] == {"r1": 3}
@@ -40,9 +40,9 @@
             watch = asyncio.ensure_future(client.http.fetch(f"{url}?after=0&wait_s=9"))
             await until(lambda: service.calls == 2)
             change = service.publish(1, {"main": b"[shop.a]\n"})
-            answer = await watch
-            assert answer.headers["X-Change"] == str(change)
-            assert b"revision = 1" in answer.body
+            response = await watch
+            assert response.headers["X-Change"] == str(change)
+            assert b"revision = 1" in response.body
             late = f"/v1/watch/tree/manifest?after={change}&wait_s=0.01"
             assert (await client.get(late))[0] == 304
             assert service.calls_by_kind == {"read": 1, "watch": 2}
@@ -50,7 +50,7 @@
 
         run(work())
 
-    def test_goes_back_to_an_older_state_and_down(self) -> None:
+    def test_serves_a_stale_state_and_goes_down(self) -> None:
         async def work() -> None:
             service, server = await start_config_service()
             client = Client(server)
@@ -63,15 +63,15 @@
             await client.post("/control", stale_at=None, down=True)
             assert (await client.get("/v1/values/tree/manifest"))[0] == 599
             await client.post("/control", down=False)
-            answer = await client.http.fetch(f"{server.url}/v1/values/tree/3/main")
-            assert answer.body == b"# 3"
+            response = await client.http.fetch(f"{server.url}/v1/values/tree/3/main")
+            assert response.body == b"# 3"
             await server.stop()
 
         run(work())
 
 
 class TestLiveList:
-    def test_lags_and_marks_what_leaves(self) -> None:
+    def test_lags_and_marks_leaving_entries(self) -> None:
         async def work() -> None:
             _, server = await start_live_list()
             client = Client(server)
