--- a/standins/sample.py
+++ b/standins/sample.py
@@ -168,7 +168,7 @@
         for item in outcomes:
             print_outcome(item)
         all_results = [result for item in outcomes for result in item.results]
-        violations = [fault for item in outcomes for fault in item.violations]
+        violations = [each for item in outcomes for each in item.violations]
         if stay:
             print_addresses(fleet, deployed)
         print_now(format_summary(all_results, violations))
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -129,25 +129,25 @@
             )
             client = Client(server)
             models = ("a@1", "a@1", "b@1", "c@1")
-            answers = await asyncio.gather(
+            responses = await asyncio.gather(
                 *(client.post("/v1/load_lora_adapter", model=model) for model in models)
             )
             # The four requests may be served in any order: the first two
             # models get the slots, and requests for one model share a load.
             statuses_by_model: dict[str, set[int]] = {}
-            for model, (status, _) in zip(models, answers, strict=True):
+            for model, (status, _) in zip(models, responses, strict=True):
                 statuses_by_model.setdefault(model, set()).add(status)
             loaded = [
                 model for model, found in statuses_by_model.items() if found == {200}
             ]
-            refused = [
+            rejected = [
                 model for model, found in statuses_by_model.items() if found == {507}
             ]
-            assert (len(loaded), len(refused)) == (2, 1)
+            assert (len(loaded), len(rejected)) == (2, 1)
             assert store.counts_by_model == dict.fromkeys(loaded, 1)
             assert store.max_concurrent_fetches == 2
             # Two concurrent loads at 20 loads/s take 0.1 s each.
-            assert all(body["took_ms"] >= 90 for code, body in answers if code == 200)
+            assert all(body["took_ms"] >= 90 for code, body in responses if code == 200)
             engine.stop()
             await server.stop()
             await store_server.stop()
