--- a/standins/forwarding/workers.py
+++ b/standins/forwarding/workers.py
@@ -131,7 +131,7 @@
         }
 
     def admit_order(self, fence: int, holder: str, precondition: int | None) -> int:
-        """Record an order; return its rejection status, zero if accepted."""
+        """Return an order's rejection status, or record it and return 0."""
         if fence < max(self.fences, default=0):
             return 412
         if precondition is not None and precondition != self.sequence:
