--- a/tests/components/engine/test_driver.py
+++ b/tests/components/engine/test_driver.py
@@ -141,7 +141,7 @@
         """Guards against "not run" for a request that may have run."""
 
         async def scenario(harness: EngineHarness) -> None:
-            harness.engine.misbehaviour.down = True
+            harness.engine.connection_faults.down = True
             for stream in (True, False):
                 call = make_call(stream=stream)
                 outcome = await harness.driver.dispatch(call, harness.on_chunk)
@@ -171,7 +171,7 @@
         """Guards against running a request again whose tokens still exist."""
 
         async def scenario(harness: EngineHarness) -> None:
-            harness.engine.misbehaviour.mute = 1
+            harness.engine.connection_faults.mute = 1
             outcome = await harness.driver.dispatch(
                 make_call(stream=False), harness.on_chunk
             )
@@ -276,7 +276,7 @@
 
     def test_unreachable_engine_has_no_report(self) -> None:
         async def scenario(harness: EngineHarness) -> None:
-            harness.engine.misbehaviour.down = True
+            harness.engine.connection_faults.down = True
             assert await harness.driver.report(0.5) is None
 
         run(scenario)
