--- a/fescuekeel/components/forward/choice.py
+++ b/fescuekeel/components/forward/choice.py
@@ -12,7 +12,7 @@
     SPREAD_COST_GAP_S,
 )
 from fescuekeel.components.forward.endpoints import EndpointLoad
-from fescuekeel.helpers.board import PlacementBoard
+from fescuekeel.helpers.placement_view import PlacementView
 from fescuekeel.helpers.published import EndpointRecord, Weights
 from fescuekeel.util import rendezvous
 
@@ -101,7 +101,7 @@
     query: EngineQuery,
     endpoints_by_id: Mapping[str, EndpointRecord],
     loads_by_id: Callable[[str], EndpointLoad],
-    board: PlacementBoard,
+    view: PlacementView,
     tried: Collection[str],
     full: Collection[str],
     now: float,
@@ -118,7 +118,7 @@
     usable = {
         id: record
         for id, record in endpoints_by_id.items()
-        if board.find_version(record, model, now) is not None
+        if view.find_version(record, model, now) is not None
     }
     candidates = _list_candidates(usable, loads_by_id, tried, now)
     candidates = [id for id in candidates if id not in full] or candidates
@@ -127,7 +127,7 @@
 
     def estimate_s(id: str) -> float:
         cost_s = loads_by_id(id).estimate_engine_s(
-            query.prompt_tokens, query.slots, board.read_load(id, now), now
+            query.prompt_tokens, query.slots, view.read_load(id, now), now
         )
         far = endpoints_by_id[id].data_centre != query.data_centre
         return cost_s + (CROSS_CENTRE_COST_S if far else 0.0)
@@ -138,7 +138,7 @@
     versions_by_id = {
         id: version
         for id in candidates
-        if (version := board.find_version(usable[id], query.weights, now)) is not None
+        if (version := view.find_version(usable[id], query.weights, now)) is not None
     }
     return _choose_for_adapter(query, candidates, versions_by_id, estimate_s)
 
--- a/fescuekeel/components/forward/component.py
+++ b/fescuekeel/components/forward/component.py
@@ -34,11 +34,11 @@
 from fescuekeel.components.forward.use import UseReporter
 from fescuekeel.core import Instance
 from fescuekeel.errors import ErrorKind, Failure
-from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.dialect import CallerHead, get_dialect
 from fescuekeel.helpers.exchange import Connection, ConnectionPool, NotConnectedError
 from fescuekeel.helpers.logging import log_event
 from fescuekeel.helpers.pages import Page, PageServer
+from fescuekeel.helpers.placement_view import PlacementView
 from fescuekeel.helpers.published import (
     Catalog,
     ClientAccount,
@@ -292,8 +292,8 @@
         itself.
         """
         own = self.get_load(endpoint).pending_tokens
-        board = self.instance.bus.latest(PlacementBoard)
-        known = board.read_load(endpoint, self.instance.now()) if board else None
+        view = self.instance.bus.latest(PlacementView)
+        known = view.read_load(endpoint, self.instance.now()) if view else None
         if known is None:
             return own
         return max(own, known.pending_tokens - tokens, 0)
@@ -359,12 +359,12 @@
         attempt: Attempt,
         end: AttemptEnd | None,
     ) -> None:
-        """Record one attempt; a misdirected one also corrects the board."""
+        """Record one attempt; a misdirected one also corrects the view."""
         if end is AttemptEnd.MISDIRECTED and request.weights is not None:
-            board = self.instance.bus.latest(PlacementBoard)
-            if board is not None:
+            view = self.instance.bus.latest(PlacementView)
+            if view is not None:
                 now = self.instance.now()
-                board.note_missing(choice.endpoint, request.weights, now)
+                view.note_missing(choice.endpoint, request.weights, now)
         self.records.attempt(request, choice, attempt, end)
 
     def note_refused(self, request: ForwardedRequest, failure: Failure) -> None:
--- a/fescuekeel/components/forward/endpoints.py
+++ b/fescuekeel/components/forward/endpoints.py
@@ -17,7 +17,7 @@
     SPEED_WEIGHT,
     UNRESPONSIVE_AFTER_S,
 )
-from fescuekeel.helpers.board import KnownLoad
+from fescuekeel.helpers.placement_view import LoadSample
 from fescuekeel.helpers.published import Weights
 
 __all__ = ["EndpointHealth", "EndpointLoad"]
@@ -175,7 +175,7 @@
         )
 
     def estimate_engine_s(
-        self, tokens: int, slots: int, known_load: KnownLoad | None, now: float
+        self, tokens: int, slots: int, known_load: LoadSample | None, now: float
     ) -> float:
         """Return the cost of one more prompt, in seconds of waiting."""
         others_tokens = others_running = 0
--- a/fescuekeel/components/forward/holders.py
+++ b/fescuekeel/components/forward/holders.py
@@ -1,9 +1,9 @@
 """Client for endpoints' holders, the instances that issue their orders."""
 
 from fescuekeel.core import Instance
-from fescuekeel.helpers.board import NOT_HOLDER, PlacementBoard
 from fescuekeel.helpers.logging import log_event
 from fescuekeel.helpers.peer_link import get_peer_link
+from fescuekeel.helpers.placement_view import NOT_HOLDER, PlacementView
 from fescuekeel.messages import AdmitAnswer, AdmitAsk, LoadAnswer, LoadAsk
 
 __all__ = ["HolderClient"]
@@ -21,8 +21,8 @@
 
     def find(self, endpoint: str) -> str | None:
         """Return the holder of an endpoint, or an instance that knows it."""
-        board = self._instance.bus.latest(PlacementBoard)
-        return board.find_holder(endpoint, self._instance.now()) if board else None
+        view = self._instance.bus.latest(PlacementView)
+        return view.find_holder(endpoint, self._instance.now()) if view else None
 
     async def ask_load(self, ask: LoadAsk, timeout_s: float) -> LoadAnswer | None:
         """Request a load; return ``None`` if there is no answer."""
@@ -69,9 +69,9 @@
 
     def _note_silent(self, holder: str, endpoint: str, asked: float) -> None:
         now = self._instance.now()
-        board = self._instance.bus.latest(PlacementBoard)
-        if board is not None:
-            board.note_silent(holder, now)
+        view = self._instance.bus.latest(PlacementView)
+        if view is not None:
+            view.note_unresponsive(holder, now)
         log_event(
             "holder_silent",
             holder=holder,
@@ -85,7 +85,7 @@
     ) -> bool:
         """Return whether the answer redirects to another instance."""
         reason = answer.detail if isinstance(answer, LoadAnswer) else answer.reason
-        board = self._instance.bus.latest(PlacementBoard)
-        if reason != NOT_HOLDER or board is None:
+        view = self._instance.bus.latest(PlacementView)
+        if reason != NOT_HOLDER or view is None:
             return False
-        return board.note_not_holder(endpoint, asked, answer.holder)
+        return view.note_redirect(endpoint, asked, answer.holder)
--- a/fescuekeel/components/forward/loading.py
+++ b/fescuekeel/components/forward/loading.py
@@ -9,8 +9,8 @@
 )
 from fescuekeel.components.forward.holders import HolderClient
 from fescuekeel.core import Instance
-from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.logging import log_event
+from fescuekeel.helpers.placement_view import PlacementView
 from fescuekeel.helpers.published import Weights
 from fescuekeel.messages import LoadAsk
 
@@ -88,6 +88,6 @@
         return detail
 
     def _note_held(self, endpoint: str, weights: Weights, version: int) -> None:
-        board = self._instance.bus.latest(PlacementBoard)
-        if board is not None:
-            board.note_held(endpoint, weights, version, self._instance.now())
+        view = self._instance.bus.latest(PlacementView)
+        if view is not None:
+            view.note_held(endpoint, weights, version, self._instance.now())
--- a/fescuekeel/components/forward/search.py
+++ b/fescuekeel/components/forward/search.py
@@ -12,7 +12,7 @@
     MIN_OVERLOAD_RETRY_S,
 )
 from fescuekeel.errors import ErrorKind, Failure
-from fescuekeel.helpers.board import NOT_HELD
+from fescuekeel.helpers.placement_view import NOT_HELD
 from fescuekeel.messages import AdmitAnswer
 
 __all__ = ["Search", "make_cut_off_failure", "make_overload_failure"]
--- a/fescuekeel/components/forward/selection.py
+++ b/fescuekeel/components/forward/selection.py
@@ -29,13 +29,13 @@
 from fescuekeel.components.forward.versions import VersionTracker
 from fescuekeel.core import Instance
 from fescuekeel.errors import ErrorKind, Failure
-from fescuekeel.helpers.board import (
-    LOADS_WAIT,
-    NO_ROOM,
+from fescuekeel.helpers.logging import log_event
+from fescuekeel.helpers.placement_view import (
+    NO_FREE_PLACE,
     NOT_HELD,
-    PlacementBoard,
+    TOO_MANY_LOADS,
+    PlacementView,
 )
-from fescuekeel.helpers.logging import log_event
 from fescuekeel.helpers.published import Catalog, EndpointRecord, EngineSpec
 from fescuekeel.messages import AdmitAnswer, AdmitAsk, LoadAsk
 
@@ -43,7 +43,7 @@
 
 
 class EndpointSelector:
-    """Select endpoints by the catalog, the placement board and own load."""
+    """Select endpoints by the catalog, the placement view and own load."""
 
     def __init__(
         self,
@@ -143,10 +143,10 @@
             waited_ms=round((self._instance.now() - asked) * 1000),
             outcome=detail or "loaded",
         )
-        if detail == NO_ROOM:
+        if detail == NO_FREE_PLACE:
             search.note_congested(choice.endpoint)
             return None
-        if detail == LOADS_WAIT:
+        if detail == TOO_MANY_LOADS:
             search.note_full(choice.endpoint)
         if search.is_exhausted(self._instance.now()):
             return make_overload_failure(ErrorKind.LOAD_FAILED, detail or "late")
@@ -173,10 +173,10 @@
         return search.failure if search.is_exhausted(self._instance.now()) else None
 
     def _note_missing(self, request: ForwardedRequest, choice: Choice) -> None:
-        board = self._instance.bus.latest(PlacementBoard)
-        if board is not None and request.weights is not None:
+        view = self._instance.bus.latest(PlacementView)
+        if view is not None and request.weights is not None:
             now = self._instance.now()
-            board.note_missing(choice.endpoint, request.weights, now)
+            view.note_missing(choice.endpoint, request.weights, now)
 
     def _still_serves(self, request: ForwardedRequest, choice: Choice) -> bool:
         """Return whether the endpoint can serve the prompt after its wait.
@@ -187,11 +187,11 @@
         record = self.find_record(choice.endpoint)
         if record is None:
             return False
-        board = self._instance.bus.latest(PlacementBoard)
-        if board is None or request.weights is None:
+        view = self._instance.bus.latest(PlacementView)
+        if view is None or request.weights is None:
             return True
         now = self._instance.now()
-        return board.find_version(record, request.weights, now) is not None
+        return view.find_version(record, request.weights, now) is not None
 
     def _spread(self, request: ForwardedRequest, choice: Choice) -> None:
         if choice.spread_to and request.weights is not None:
@@ -230,11 +230,11 @@
         if answer is None:
             self._instance.metrics.count("turn_missed")
             return None
-        board = self._instance.bus.latest(PlacementBoard)
-        if board is not None and answer.reason != NOT_HELD:
-            board.note_load(choice.endpoint, answer.running, answer.pending_tokens, now)
+        view = self._instance.bus.latest(PlacementView)
+        if view is not None and answer.reason != NOT_HELD:
+            view.note_load(choice.endpoint, answer.running, answer.pending_tokens, now)
             if answer.granted:
-                board.note_held(choice.endpoint, request.weights, answer.version, now)
+                view.note_held(choice.endpoint, request.weights, answer.version, now)
         return answer
 
     async def _request_load(
@@ -280,7 +280,7 @@
         if engine is None or weights is None:
             centre = self._instance.settings.instance.data_centre
             return choose_plain(allowed, self._get_load, tried, centre, now)
-        board = self._instance.bus.latest(PlacementBoard) or PlacementBoard()
+        view = self._instance.bus.latest(PlacementView) or PlacementView()
         query = EngineQuery(
             weights,
             request.head.prompt_tokens,
@@ -290,7 +290,7 @@
             request.head.request_id,
             self._instance.settings.instance.data_centre,
         )
-        return choose_engine(query, allowed, self._get_load, board, tried, full, now)
+        return choose_engine(query, allowed, self._get_load, view, tried, full, now)
 
 
 def _expect_version(choice: Choice, answer: AdmitAnswer) -> Choice:
--- a/fescuekeel/components/forward/use.py
+++ b/fescuekeel/components/forward/use.py
@@ -6,8 +6,8 @@
 
 from fescuekeel.components.forward.endpoints import EndpointLoad
 from fescuekeel.core import Instance
-from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.peer_link import get_peer_link
+from fescuekeel.helpers.placement_view import PlacementView
 from fescuekeel.helpers.ticks import get_next_tick_s
 from fescuekeel.messages import EndpointUse, UseNews, WeightUse
 
@@ -55,16 +55,16 @@
             self._due_changed.set()
 
     def _report(self) -> None:
-        board = self._instance.bus.latest(PlacementBoard)
-        if board is None:
+        view = self._instance.bus.latest(PlacementView)
+        if view is None:
             return
         now = self._instance.now()
         uses_by_holder: dict[str, list[EndpointUse]] = {}
         for id, load in self._loads_by_id.items():
-            listener = board.find_listener(id)
-            use = make_use(id, load, now) if listener is not None else None
-            if listener is not None and use is not None:
-                uses_by_holder.setdefault(listener, []).append(use)
+            recipient = view.find_usage_recipient(id)
+            use = make_use(id, load, now) if recipient is not None else None
+            if recipient is not None and use is not None:
+                uses_by_holder.setdefault(recipient, []).append(use)
         link = get_peer_link(self._instance)
         for holder, uses in uses_by_holder.items():
             link.send(holder, UseNews(tuple(uses)))
--- a/fescuekeel/components/placement/admission.py
+++ b/fescuekeel/components/placement/admission.py
@@ -15,8 +15,8 @@
 )
 from fescuekeel.components.placement.scheduler import AdapterScheduler
 from fescuekeel.core import Instance
-from fescuekeel.helpers.board import TURNS_WAIT
 from fescuekeel.helpers.peer_link import get_peer_link
+from fescuekeel.helpers.placement_view import TOO_MANY_PROMPTS
 from fescuekeel.helpers.published import Catalog, EndpointRecord, Weights
 from fescuekeel.messages import AdmitAnswer, AdmitAsk, PeerMessage
 
@@ -136,7 +136,7 @@
         scheduler.usage.note_prompt_waiting(weights)
         queue.waiting_by_number[number] = WaitingPrompt(message, weights)
         now = self._instance.now()
-        queue.pacer.ask(
+        queue.pacer.enqueue(
             Prompt(
                 number,
                 request.tokens,
@@ -155,9 +155,9 @@
         for decision in pacer.step(
             now, queue.count_free_slots(now), queue.scheduler.load_s
         ):
-            pending = pacer.count_pending(now)
+            pending = pacer.count_pending_tokens(now)
             wait_ms = int(pacer.estimate_wait_s() * 1000)
-            reason = "" if decision.granted else TURNS_WAIT
+            reason = "" if decision.granted else TOO_MANY_PROMPTS
             answer = AdmitAnswer(decision.granted, pending, wait_ms, reason)
             self._answer(queue, decision, answer)
         due = pacer.get_next_step()
@@ -201,4 +201,4 @@
     def count_pending(self, endpoint: str) -> int:
         """Return the prompt tokens that wait or are read at an engine."""
         queue = self._queues_by_endpoint.get(endpoint)
-        return queue.pacer.count_pending(self._instance.now()) if queue else 0
+        return queue.pacer.count_pending_tokens(self._instance.now()) if queue else 0
--- a/fescuekeel/components/placement/component.py
+++ b/fescuekeel/components/placement/component.py
@@ -17,12 +17,12 @@
 from fescuekeel.components.placement.scheduler import AdapterScheduler
 from fescuekeel.components.placement.updates import EndpointSnapshot
 from fescuekeel.core import Actor, Instance
-from fescuekeel.helpers.board import (
-    PlacementBoard,
-)
 from fescuekeel.helpers.dialect import get_dialect
 from fescuekeel.helpers.incarnation import Incarnation
 from fescuekeel.helpers.logging import log_event
+from fescuekeel.helpers.placement_view import (
+    PlacementView,
+)
 from fescuekeel.helpers.published import Catalog, EndpointRecord, EngineSpec, Weights
 from fescuekeel.helpers.ticks import sleep_to_tick
 from fescuekeel.messages import (
@@ -46,7 +46,7 @@
 
     def __init__(self, instance: Instance) -> None:
         super().__init__(instance, DOMAIN)
-        self.board = PlacementBoard()
+        self.placement_view = PlacementView()
         bounds = instance.settings.forwarding
         self._claims = Claims(instance.id, bounds.lease_s, bounds.fenced)
         self._holders_by_endpoint: dict[str, EndpointHolder] = {}
@@ -55,12 +55,12 @@
             instance, self._admission, self._find_local_holder
         )
         self._publisher = UpdatePublisher(
-            instance, self.board, self._list_snapshots, self._list_data_centres
+            instance, self.placement_view, self._list_snapshots, self._list_data_centres
         )
         self._engines = EngineTable()
-        self._board_engines: dict[str, EndpointRecord] = {}
-        self.board.find_candidate = self._find_candidate
-        self.board.is_near = self._is_near
+        self._engines_in_view: dict[str, EndpointRecord] = {}
+        self.placement_view.find_candidate = self._find_candidate
+        self.placement_view.is_near = self._is_near
 
     async def start(self) -> None:
         """Subscribe to messages and start the tick task."""
@@ -68,7 +68,7 @@
         for kind in (PlacementNews, UseNews, LoadAsk, AdmitAsk):
             bus.subscribe_peer(kind, self.post)
         self._publisher.start()
-        bus.publish_state(self.board)
+        bus.publish_state(self.placement_view)
         self.instance.metrics.add_gauge("endpoints_held", self._read_held)
         await super().start()
         self.instance.spawn(self._tick_forever(), f"{DOMAIN}.tick")
@@ -122,7 +122,7 @@
         engines = self._list_engines()
         if self.instance.draining:
             self._release(list(self._claims.own_claims_by_endpoint))
-            self._update_board(engines, now)
+            self._update_view(engines, now)
             return
         catalog = self.instance.bus.latest(Catalog)
         view = self._read_members()
@@ -140,7 +140,7 @@
         self._sync_holders(engines)
         for holder in self._holders_by_endpoint.values():
             holder.scheduler.usage.prune(now)
-        self._update_board(engines, now)
+        self._update_view(engines, now)
         self._publisher.step()
 
     def _read_held(self) -> dict[str, float]:
@@ -206,12 +206,12 @@
             other
             for other in self._list_engines().values()
             if other.service == record.service
-            and self.board.is_answered_for(other.id, now)
+            and self.placement_view.is_current(other.id, now)
         ]
         without = [
             other.id
             for other in others
-            if self.board.find_version(other, model, now) is None
+            if self.placement_view.find_version(other, model, now) is None
         ]
         return may_load_model(record.id, len(others) - len(without), without)
 
@@ -298,16 +298,16 @@
             if self._holds(id)
         }
 
-    def _update_board(self, engines: dict[str, EndpointRecord], now: float) -> None:
-        self.board.holders_by_endpoint = {
+    def _update_view(self, engines: dict[str, EndpointRecord], now: float) -> None:
+        self.placement_view.holders_by_endpoint = {
             record.id: holder
             for name in self._claims.list_claimed()
             if (record := self._engines.records_by_name.get(name)) is not None
             and (holder := self._claims.find_holder(name, now)) is not None
         }
-        if engines is not self._board_engines:
-            self._board_engines = engines
-            self.board.forget_except(engines)
+        if engines is not self._engines_in_view:
+            self._engines_in_view = engines
+            self.placement_view.forget_except(engines)
 
     # Messages of peers.
 
@@ -336,7 +336,7 @@
                 now,
             )
             if in_force and not state.released:
-                self.board.hear(sender, state, now)
+                self.placement_view.apply_update(sender, state, now)
 
     def _receive_use(self, sender: str, update: UseNews) -> None:
         now = self.instance.now()
--- a/fescuekeel/components/placement/pacing.py
+++ b/fescuekeel/components/placement/pacing.py
@@ -65,8 +65,8 @@
     A prompt larger than a window is admitted when the window is empty.
 
     >>> pacer = PromptPacer(window_s=0.25)
-    >>> pacer.ask(Prompt(1, 3000, 1, 1.0, 2.0))
-    >>> pacer.ask(Prompt(2, 3000, 1, 1.0, 2.0))
+    >>> pacer.enqueue(Prompt(1, 3000, 1, 1.0, 2.0))
+    >>> pacer.enqueue(Prompt(2, 3000, 1, 1.0, 2.0))
     >>> [item.number for item in pacer.step(now=0.0)], pacer.step(now=0.1)
     ([1], [])
     >>> pacer.step(now=0.3)
@@ -121,12 +121,12 @@
         self.share = min(MAX_PROMPT_SHARE, self.share * SHARE_INCREASE)
         self._raised_at = now
 
-    def ask(self, prompt: Prompt) -> None:
+    def enqueue(self, prompt: Prompt) -> None:
         """Enqueue a prompt; ``step`` decides on it."""
         self._waiting.append(prompt)
         self.waiting_tokens += prompt.tokens
 
-    def count_pending(self, now: float) -> int:
+    def count_pending_tokens(self, now: float) -> int:
         """Return the tokens that wait or were admitted within the window."""
         self._expire_granted(now)
         return self.waiting_tokens + self._granted_tokens
--- a/fescuekeel/components/placement/peer_requests.py
+++ b/fescuekeel/components/placement/peer_requests.py
@@ -9,9 +9,14 @@
 from fescuekeel.components.placement.holder import EndpointHolder
 from fescuekeel.components.placement.model import LoadRequest, LoadResult
 from fescuekeel.core import Instance
-from fescuekeel.helpers.board import LOADS_WAIT, NO_ROOM, NOT_HELD, NOT_HOLDER
 from fescuekeel.helpers.logging import log_event
 from fescuekeel.helpers.peer_link import get_peer_link
+from fescuekeel.helpers.placement_view import (
+    NO_FREE_PLACE,
+    NOT_HELD,
+    NOT_HOLDER,
+    TOO_MANY_LOADS,
+)
 from fescuekeel.helpers.published import Weights
 from fescuekeel.messages import (
     AdmitAnswer,
@@ -61,10 +66,10 @@
         weights = Weights(request.model, request.adapter)
         now = self._instance.now()
         if not request.patient and not self._has_room_now(holder, weights, now):
-            link.answer(message, LoadAnswer(False, NO_ROOM))
+            link.answer(message, LoadAnswer(False, NO_FREE_PLACE))
             return
         if not holder.scheduler.accepts_request(weights, request.spread, now):
-            link.answer(message, LoadAnswer(False, LOADS_WAIT))
+            link.answer(message, LoadAnswer(False, TOO_MANY_LOADS))
             return
         until = now + (
             REPLICA_REQUEST_TTL_S if request.spread else request.patience_ms / 1000
--- a/fescuekeel/components/placement/publisher.py
+++ b/fescuekeel/components/placement/publisher.py
@@ -12,8 +12,8 @@
 )
 from fescuekeel.components.placement.updates import EndpointSnapshot, UpdateWriter
 from fescuekeel.core import Instance
-from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.peer_link import get_peer_link
+from fescuekeel.helpers.placement_view import PlacementView
 from fescuekeel.messages import MemberView, PeerLost, PlacementNews, PlacementState
 
 __all__ = ["UpdatePublisher", "sends_to_all"]
@@ -39,12 +39,12 @@
     def __init__(
         self,
         instance: Instance,
-        board: PlacementBoard,
+        placement_view: PlacementView,
         list_snapshots: Callable[[], Iterable[EndpointSnapshot]],
         list_data_centres: Callable[[], set[str]],
     ) -> None:
         self._instance = instance
-        self._board = board
+        self._placement_view = placement_view
         self._list_snapshots = list_snapshots
         self._list_data_centres = list_data_centres
         self._writer = UpdateWriter()
@@ -114,7 +114,7 @@
         own_id = self._instance.id
         for state in states:
             if not state.released:
-                self._board.hear(own_id, state, now)
+                self._placement_view.apply_update(own_id, state, now)
         link = get_peer_link(self._instance)
         link.send_all(self._list_recipients(), PlacementNews(states))
 
--- a/fescuekeel/helpers/board.py
+++ b/fescuekeel/helpers/placement_view.py
@@ -11,25 +11,25 @@
 from fescuekeel.messages import HeldWeights, PlacementState
 
 __all__ = [
-    "LOADS_WAIT",
     "NOT_HELD",
     "NOT_HOLDER",
-    "NO_ROOM",
-    "TURNS_WAIT",
+    "NO_FREE_PLACE",
+    "TOO_MANY_LOADS",
+    "TOO_MANY_PROMPTS",
     "EndpointState",
-    "KnownLoad",
-    "PlacementBoard",
+    "LoadSample",
+    "PlacementView",
 ]
 
 # The holder rejects a load request without queueing it.
-LOADS_WAIT = "too many loads wait"
+TOO_MANY_LOADS = "too many loads wait"
 # A load cannot start now, but could after a wait.
-NO_ROOM = "no place is free"
+NO_FREE_PLACE = "no place is free"
 # The asked instance is not the holder: the asker's view is stale.
 NOT_HOLDER = "not the holder"
 # A prompt is not admitted: its weights are not loaded, or the queue is full.
 NOT_HELD = "not held"
-TURNS_WAIT = "too many prompts wait"
+TOO_MANY_PROMPTS = "too many prompts wait"
 
 # Lifetime of a holder's placement update: twice its longest update period.
 STATE_TTL_S = 2.0
@@ -47,12 +47,13 @@
 class EndpointState:
     """The last placement update that an endpoint's holder sent.
 
-    ``heard`` is when it arrived, and ``number`` that of its list of weights.
+    ``received_at`` is when it arrived, and ``number`` the number of its list
+    of weights.
     """
 
     holder: str
     term: int
-    heard: float
+    received_at: float
     held: dict[Weights, int]
     running: int
     pending_tokens: int
@@ -60,10 +61,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownLoad:
+class LoadSample:
     """Load of an endpoint at one time, summed over all instances."""
 
-    heard: float
+    received_at: float
     running: int
     pending_tokens: int
 
@@ -85,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class PlacementBoard:
+class PlacementView:
     """Local view of all endpoints; the placement component owns it.
 
     Holders send placement updates to the instances near their endpoints. Other
@@ -104,7 +105,7 @@
     find_candidate: Callable[[str], str | None] = find_no_candidate
     is_near: Callable[[str], bool] = field(default=lambda endpoint: True)
     _redirects_by_endpoint: dict[str, str] = field(default_factory=dict)
-    _loads_by_endpoint: dict[str, KnownLoad] = field(default_factory=dict)
+    _loads_by_endpoint: dict[str, LoadSample] = field(default_factory=dict)
     _overrides_by_endpoint: dict[str, dict[Weights, VersionOverride]] = field(
         default_factory=dict
     )
@@ -126,7 +127,7 @@
             return None
         return holder
 
-    def find_listener(self, endpoint: str) -> str | None:
+    def find_usage_recipient(self, endpoint: str) -> str | None:
         """Return the instance that receives usage reports of an endpoint.
 
         Unlike ``find_holder`` it falls back to the candidate near the endpoint
@@ -138,7 +139,7 @@
         holder = holder or self._redirects_by_endpoint.get(endpoint)
         return holder or self.find_candidate(endpoint)
 
-    def note_not_holder(self, endpoint: str, asked: str, holder: str) -> bool:
+    def note_redirect(self, endpoint: str, asked: str, holder: str) -> bool:
         """Record a redirect to another holder; return whether it names one."""
         if self._redirects_by_endpoint.get(endpoint) == asked:
             del self._redirects_by_endpoint[endpoint]
@@ -147,7 +148,7 @@
         self._redirects_by_endpoint[endpoint] = holder
         return True
 
-    def note_silent(self, holder: str, now: float) -> None:
+    def note_unresponsive(self, holder: str, now: float) -> None:
         """Stop asking an unresponsive holder for a while."""
         self._backoff_until_by_holder[holder] = now + HOLDER_BACKOFF_S
         for endpoint, answered in list(self._redirects_by_endpoint.items()):
@@ -156,7 +157,7 @@
 
     # Placement updates.
 
-    def hear(self, holder: str, state: PlacementState, now: float) -> None:
+    def apply_update(self, holder: str, state: PlacementState, now: float) -> None:
         """Apply a placement update from a holder.
 
         A delta applies only to the list that it is based on, sent under the
@@ -183,7 +184,7 @@
 
     def _get_state(self, endpoint: str, now: float) -> EndpointState | None:
         state = self.states_by_endpoint.get(endpoint)
-        if state is None or now - state.heard > STATE_TTL_S:
+        if state is None or now - state.received_at > STATE_TTL_S:
             return None
         return state
 
@@ -225,7 +226,7 @@
         if state is not None:
             state.running = running
             state.pending_tokens = pending_tokens
-        self._loads_by_endpoint[endpoint] = KnownLoad(now, running, pending_tokens)
+        self._loads_by_endpoint[endpoint] = LoadSample(now, running, pending_tokens)
 
     # Queries.
 
@@ -246,7 +247,7 @@
             return override.version
         return record.held.get(weights)
 
-    def is_answered_for(self, endpoint: str, now: float) -> bool:
+    def is_current(self, endpoint: str, now: float) -> bool:
         """Return whether the view of an endpoint is current.
 
         A near endpoint needs a recent placement update. For any other one the
@@ -254,13 +255,13 @@
         """
         return self._get_state(endpoint, now) is not None or not self.is_near(endpoint)
 
-    def read_load(self, endpoint: str, now: float) -> KnownLoad | None:
+    def read_load(self, endpoint: str, now: float) -> LoadSample | None:
         """Return the load of an endpoint, if a recent one is known."""
         state = self._get_state(endpoint, now)
         if state is not None:
-            return KnownLoad(state.heard, state.running, state.pending_tokens)
+            return LoadSample(state.received_at, state.running, state.pending_tokens)
         load = self._loads_by_endpoint.get(endpoint)
-        if load is None or now - load.heard > STATE_TTL_S:
+        if load is None or now - load.received_at > STATE_TTL_S:
             return None
         return load
 
--- a/tests/components/forward/test_choice.py
+++ b/tests/components/forward/test_choice.py
@@ -11,7 +11,7 @@
 )
 from fescuekeel.components.forward.const import HOMES_PER_ADAPTER, MAX_COMPARED
 from fescuekeel.components.forward.endpoints import EndpointLoad
-from fescuekeel.helpers.board import EndpointState, PlacementBoard
+from fescuekeel.helpers.placement_view import EndpointState, PlacementView
 from fescuekeel.helpers.published import EndpointRecord, Weights
 
 MODEL = Weights("m")
@@ -38,11 +38,11 @@
 
 
 class Scenario:
-    """The inputs of a choice: records, board and loads."""
+    """The inputs of a choice: records, view and loads."""
 
     def __init__(self, states=None, records=None):
         self.records = records or make_records()
-        self.board = PlacementBoard(states_by_endpoint=states or {})
+        self.view = PlacementView(states_by_endpoint=states or {})
         self.loads = {id: EndpointLoad() for id in self.records}
 
     def choose(self, query, tried=(), full=()):
@@ -50,7 +50,7 @@
             query,
             self.records,
             self.loads.__getitem__,
-            self.board,
+            self.view,
             tried,
             full,
             NOW,
@@ -139,7 +139,7 @@
         for loaded in range(20):
             scenario = self.make_scenario()
             for number in range(loaded * 3):
-                scenario.board.note_load(f"e{number:02}", 12, 20_000, NOW)
+                scenario.view.note_load(f"e{number:02}", 12, 20_000, NOW)
             homes.add(scenario.choose(ask()).endpoint)
         assert len(homes) <= HOMES_PER_ADAPTER
 
--- a/tests/components/forward/test_holders.py
+++ b/tests/components/forward/test_holders.py
@@ -7,7 +7,7 @@
 from fescuekeel.components.forward.holders import HolderClient
 from fescuekeel.core import Bus
 from fescuekeel.errors import ErrorKind, Failure
-from fescuekeel.helpers.board import NOT_HOLDER, PlacementBoard
+from fescuekeel.helpers.placement_view import NOT_HOLDER, PlacementView
 from fescuekeel.messages import AdmitAnswer, AdmitAsk, LoadAnswer, LoadAsk
 
 LOAD = LoadAsk("e1", "m", "cards", 0, 1)
@@ -35,10 +35,10 @@
         self.link = FakeLink(answers_by_instance)
         self.components_by_domain = {"peers": self.link}
         self.bus = Bus()
-        board = PlacementBoard()
-        board.find_candidate = lambda endpoint: "i1"
-        board.is_near = lambda endpoint: False
-        self.bus.publish_state(board)
+        view = PlacementView()
+        view.find_candidate = lambda endpoint: "i1"
+        view.is_near = lambda endpoint: False
+        self.bus.publish_state(view)
 
     def now(self):
         return 100.0
--- a/tests/components/forward/test_search.py
+++ b/tests/components/forward/test_search.py
@@ -10,13 +10,13 @@
 from fescuekeel.components.forward.endpoints import EndpointLoad
 from fescuekeel.components.forward.search import Search
 from fescuekeel.components.placement.pacing import Prompt, PromptPacer
-from fescuekeel.helpers.board import NOT_HELD, TURNS_WAIT, PlacementBoard
+from fescuekeel.helpers.placement_view import NOT_HELD, TOO_MANY_PROMPTS, PlacementView
 from fescuekeel.helpers.published import EndpointRecord, Weights
 from fescuekeel.messages import AdmitAnswer
 
 MODEL = Weights("m")
 CARDS = Weights("m", "cards")
-CONGESTED = AdmitAnswer(False, reason=TURNS_WAIT)
+CONGESTED = AdmitAnswer(False, reason=TOO_MANY_PROMPTS)
 
 
 class TestSearch:
@@ -74,7 +74,7 @@
         self.running = dict.fromkeys(ids, 0)
         self.incoming_tokens = dict.fromkeys(ids, 0)
         self.loaded_at_by_id = {}
-        self.boards = [PlacementBoard() for _ in range(self.INSTANCES)]
+        self.views = [PlacementView() for _ in range(self.INSTANCES)]
         self.loads = [{id: EndpointLoad() for id in ids} for _ in range(self.INSTANCES)]
         self.events = []
         self.sequence = itertools.count()
@@ -116,7 +116,7 @@
             query,
             self.read_published(now),
             self.loads[instance].__getitem__,
-            self.boards[instance],
+            self.views[instance],
             (),
             search.avoided,
             now,
@@ -137,7 +137,7 @@
         if now < ready:
             self.incoming_tokens[id] += self.TOKENS
             self.schedule(ready, self.end_load, id)
-        self.boards[instance].note_held(id, CARDS, 0, max(now, ready))
+        self.views[instance].note_held(id, CARDS, 0, max(now, ready))
         self.schedule(max(now + 0.003, ready), self.search, number, search)
 
     def is_congested(self, id):
@@ -150,7 +150,7 @@
 
     def ask(self, now, number, search, id, patient):
         pacer = self.pacers[id]
-        pacer.ask(Prompt(number, self.TOKENS, 1, now + 1.0, search.until, patient))
+        pacer.enqueue(Prompt(number, self.TOKENS, 1, now + 1.0, search.until, patient))
         self.requests[number] += (search, patient)
         self.step(now, id)
 
@@ -160,8 +160,8 @@
         for turn in pacer.step(now, room, self.LOAD_S):
             arrived, instance, search, patient = self.requests[turn.number]
             self.requests[turn.number] = (arrived, instance)
-            board = self.boards[instance]
-            board.note_load(id, self.running[id], pacer.count_pending(now), now)
+            view = self.views[instance]
+            view.note_load(id, self.running[id], pacer.count_pending_tokens(now), now)
             if turn.granted:
                 self.waits.append(now - arrived)
                 self.running[id] += 1
--- a/tests/components/placement/test_pacing.py
+++ b/tests/components/placement/test_pacing.py
@@ -35,23 +35,23 @@
         """Guards against one engine reading several prompts in a row."""
         pacer = make_pacer()
         for number in range(4):
-            pacer.ask(make_prompt(number))
+            pacer.enqueue(make_prompt(number))
         assert granted(pacer.step(0.0)) == [0, 1]
         assert pacer.step(0.2) == []
         assert granted(pacer.step(0.3)) == [2, 3]
 
     def test_prompt_larger_than_a_window_is_admitted(self):
         pacer = make_pacer(window_s=0.1)
-        pacer.ask(make_prompt(1, tokens=100_000))
+        pacer.enqueue(make_prompt(1, tokens=100_000))
         assert granted(pacer.step(0.0)) == [1]
 
     def test_pending_tokens_expire_with_the_window(self):
         pacer = make_pacer()
-        pacer.ask(make_prompt(1, tokens=4000))
-        pacer.ask(make_prompt(2, tokens=4000))
+        pacer.enqueue(make_prompt(1, tokens=4000))
+        pacer.enqueue(make_prompt(2, tokens=4000))
         pacer.step(0.0)
-        assert pacer.count_pending(0.1) == 8000
-        assert pacer.count_pending(0.3) == 4000
+        assert pacer.count_pending_tokens(0.1) == 8000
+        assert pacer.count_pending_tokens(0.3) == 4000
 
     def test_faster_engine_gets_more(self):
         slow, fast = make_pacer(), make_pacer()
@@ -67,7 +67,7 @@
         for window in range(first, first + windows):
             now = window * (pacer.window_s + 0.001)
             if waiting:
-                pacer.ask(make_prompt(window, tokens=100_000, until=now + 0.1))
+                pacer.enqueue(make_prompt(window, tokens=100_000, until=now + 0.1))
             pacer.step(now)
             share = pause(pacer.share)
             paused += share >= LONG_PAUSE_RATIO
@@ -112,14 +112,14 @@
     def test_urgent_prompt_goes_first(self):
         pacer = make_pacer()
         for number, priority in enumerate((1, 1, 0)):
-            pacer.ask(make_prompt(number, 4000, priority))
+            pacer.enqueue(make_prompt(number, 4000, priority))
         assert granted(pacer.step(0.0)) == [2]
 
     def test_late_prompt_does_not_make_others_late(self):
         """Guards against serving a burst in order of arrival."""
         pacer = make_pacer()
-        pacer.ask(make_prompt(1, 4000, on_time_until=0.5))
-        pacer.ask(make_prompt(2, 4000, on_time_until=2.0))
+        pacer.enqueue(make_prompt(1, 4000, on_time_until=0.5))
+        pacer.enqueue(make_prompt(2, 4000, on_time_until=2.0))
         assert granted(pacer.step(1.0)) == [2]
 
 
@@ -129,7 +129,7 @@
         pacer = make_pacer()
         decisions = []
         for number in range(40):
-            pacer.ask(make_prompt(number))
+            pacer.enqueue(make_prompt(number))
             decisions += pacer.step(0.0)
         assert refused(decisions)
         assert pacer.estimate_wait_s() <= MAX_PROMPT_QUEUE_S
@@ -137,17 +137,17 @@
     def test_least_urgent_prompt_is_refused_first(self):
         pacer = make_pacer()
         for number in range(40):
-            pacer.ask(make_prompt(number, priority=1))
+            pacer.enqueue(make_prompt(number, priority=1))
             pacer.step(0.0)
-        pacer.ask(make_prompt(99, priority=0))
+        pacer.enqueue(make_prompt(99, priority=0))
         decisions = pacer.step(0.0)
         assert refused(decisions)
         assert 99 not in refused(decisions)
 
     def test_prompt_is_refused_when_its_wait_expires(self):
         pacer = make_pacer()
-        pacer.ask(make_prompt(1, 6000))
-        pacer.ask(make_prompt(2, 6000, until=0.1))
+        pacer.enqueue(make_prompt(1, 6000))
+        pacer.enqueue(make_prompt(2, 6000, until=0.1))
         pacer.step(0.0)
         assert pacer.get_next_step() == 0.1
         assert refused(pacer.step(0.1)) == [2]
@@ -156,7 +156,7 @@
         """Guards against prompts left unanswered after the claim has ended."""
         pacer = make_pacer()
         for number in range(4):
-            pacer.ask(make_prompt(number))
+            pacer.enqueue(make_prompt(number))
         pacer.step(0.0)
         assert granted(pacer.drain()) == [2, 3]
         assert pacer.waiting_tokens == 0
@@ -166,7 +166,7 @@
         pacer = make_pacer()
         decisions = []
         for number, (tokens, priority) in enumerate(prompts):
-            pacer.ask(make_prompt(number, tokens, priority))
+            pacer.enqueue(make_prompt(number, tokens, priority))
             decisions += pacer.step(number * 0.01)
         for tenth in range(1000):
             decisions += pacer.step(tenth / 10)
@@ -185,7 +185,7 @@
     def test_prompt_that_would_wait_longer_than_elsewhere_is_refused(self):
         pacer = make_pacer()
         for number in range(6):
-            pacer.ask(self.make_impatient(number))
+            pacer.enqueue(self.make_impatient(number))
         decisions = pacer.step(0.0, elsewhere_s=0.25)
         assert granted(decisions) == [0, 1]
         assert refused(decisions) == [3, 4, 5]
@@ -193,19 +193,19 @@
     def test_patient_prompt_keeps_waiting(self):
         pacer = make_pacer()
         for number in range(4):
-            pacer.ask(make_prompt(number))
+            pacer.enqueue(make_prompt(number))
         assert refused(pacer.step(0.0, elsewhere_s=0.25)) == []
 
     def test_urgent_prompt_is_not_refused_for_those_behind_it(self):
         pacer = make_pacer()
         for number in range(4):
-            pacer.ask(make_prompt(number))
-        pacer.ask(self.make_impatient(9, priority=0))
+            pacer.enqueue(make_prompt(number))
+        pacer.enqueue(self.make_impatient(9, priority=0))
         assert 9 in granted(pacer.step(0.0, elsewhere_s=0.25))
 
     def test_engine_without_free_slots_refuses_impatient_prompts(self):
         pacer = make_pacer()
-        pacer.ask(make_prompt(1))
-        pacer.ask(self.make_impatient(2))
+        pacer.enqueue(make_prompt(1))
+        pacer.enqueue(self.make_impatient(2))
         decisions = pacer.step(0.0, free_slots=0)
         assert (granted(decisions), refused(decisions)) == ([1], [2])
--- a/tests/components/placement/test_publisher.py
+++ b/tests/components/placement/test_publisher.py
@@ -6,7 +6,7 @@
 from fescuekeel.components.placement.publisher import UpdatePublisher
 from fescuekeel.components.placement.updates import EndpointSnapshot
 from fescuekeel.core import Bus
-from fescuekeel.helpers.board import PlacementBoard
+from fescuekeel.helpers.placement_view import PlacementView
 from fescuekeel.helpers.published import Weights
 from fescuekeel.messages import Member, MemberView
 
@@ -48,7 +48,7 @@
         )
         self.publisher = UpdatePublisher(
             instance,
-            PlacementBoard(),
+            PlacementView(),
             lambda: self.snapshots,
             lambda: set(self.centres),
         )
--- a/tests/components/placement/test_updates.py
+++ b/tests/components/placement/test_updates.py
@@ -5,7 +5,7 @@
 
 from fescuekeel.components.placement.const import FULL_UPDATE_PERIOD_S
 from fescuekeel.components.placement.updates import EndpointSnapshot, UpdateWriter
-from fescuekeel.helpers.board import PlacementBoard
+from fescuekeel.helpers.placement_view import PlacementView
 from fescuekeel.helpers.published import Weights
 
 ADAPTERS = [Weights("m", f"a{number}") for number in range(6)]
@@ -30,31 +30,33 @@
 
     @given(LISTS)
     def test_instance_with_all_updates_knows_the_list(self, lists):
-        writer, board = UpdateWriter(), PlacementBoard()
+        writer, view = UpdateWriter(), PlacementView()
         for number, held in enumerate(lists):
-            board.hear("i1", writer.write(make_snapshot(held), number * 0.1), 0.0)
-            assert board.states_by_endpoint["e1"].held == held
+            view.apply_update(
+                "i1", writer.write(make_snapshot(held), number * 0.1), 0.0
+            )
+            assert view.states_by_endpoint["e1"].held == held
 
     @given(LISTS, st.data())
     def test_missed_update_never_yields_a_mixed_list(self, lists, data):
         """What an instance knows is always a list that was sent as such."""
-        writer, board = UpdateWriter(), PlacementBoard()
+        writer, view = UpdateWriter(), PlacementView()
         for number, held in enumerate(lists):
             state = writer.write(make_snapshot(held), number * 0.1)
             if data.draw(st.booleans()):
-                board.hear("i1", state, 0.0)
-            known = board.states_by_endpoint.get("e1")
+                view.apply_update("i1", state, 0.0)
+            known = view.states_by_endpoint.get("e1")
             assert known is None or known.held in lists[: number + 1]
 
     def test_newcomer_gets_the_full_list_as_last_sent(self):
-        writer, board = UpdateWriter(), PlacementBoard()
+        writer, view = UpdateWriter(), PlacementView()
         first, second = {ADAPTERS[0]: 1}, {ADAPTERS[1]: 1}
         writer.write(make_snapshot(first), 0.0)
         # A change that was not sent yet must not be included.
-        board.hear("i1", writer.write_full(make_snapshot(second)), 0.0)
-        assert board.states_by_endpoint["e1"].held == first
-        board.hear("i1", writer.write(make_snapshot(second), 0.1), 0.0)
-        assert board.states_by_endpoint["e1"].held == second
+        view.apply_update("i1", writer.write_full(make_snapshot(second)), 0.0)
+        assert view.states_by_endpoint["e1"].held == first
+        view.apply_update("i1", writer.write(make_snapshot(second), 0.1), 0.0)
+        assert view.states_by_endpoint["e1"].held == second
 
     def test_full_list_is_sent_periodically(self):
         writer = UpdateWriter()
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -10,7 +10,7 @@
 from tornado.simple_httpclient import HTTPStreamClosedError
 
 from fescuekeel.core import Instance
-from fescuekeel.helpers.board import PlacementBoard
+from fescuekeel.helpers.placement_view import PlacementView
 from fescuekeel.helpers.published import Catalog
 from fescuekeel.helpers.settings import parse_settings
 from fescuekeel.messages import MemberView
@@ -95,8 +95,8 @@
                 view = instance.bus.latest(MemberView)
                 if view is None or len(view.members_by_id) != len(self.instances):
                     return False
-                board = instance.bus.latest(PlacementBoard)
-                if len(board.holders_by_endpoint) != 2:
+                placement_view = instance.bus.latest(PlacementView)
+                if len(placement_view.holders_by_endpoint) != 2:
                     return False
             return True
 
@@ -523,11 +523,11 @@
             async with start_world() as world:
                 first = world.instances.pop(0)
                 await first.stop()
-                board = world.instances[0].bus.latest(PlacementBoard)
+                placement_view = world.instances[0].bus.latest(PlacementView)
                 # Wait for both engines: either may be the adapter's home.
                 await eventually(
                     lambda: (
-                        list(board.holders_by_endpoint.values())
+                        list(placement_view.holders_by_endpoint.values())
                         == 2 * [world.instances[0].id]
                     )
                 )
