--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -8,9 +8,9 @@
 from enum import StrEnum
 from random import Random
 
-from fescuekeel.helpers.exchange import (
-    AnswerBrokenError,
+from fescuekeel.helpers.http_connection import (
     Connection,
+    IncompleteResponseError,
     NotConnectedError,
     connect,
 )
@@ -150,12 +150,12 @@
                 head = await connection.read_head()
                 status = head.status
                 closes = head.get("connection").lower() == "close"
-                while (piece := await connection.read_piece()) is not None:
-                    body += piece.data
+                while (chunk := await connection.read_chunk()) is not None:
+                    body += chunk.data
         except TimeoutError:
             connection.close()
             return status, bytes(body), Ending.SILENT
-        except AnswerBrokenError:
+        except IncompleteResponseError:
             connection.close()
             ending = Ending.CUT if status else Ending.UNANSWERED
             return status, bytes(body), ending
--- a/bench/soak/command.py
+++ b/bench/soak/command.py
@@ -15,7 +15,7 @@
 from bench.soak.plan import FAULTS_PER_S, Fault, make_plan
 from bench.soak.violation import Violation
 from bench.soak.world import SoakWorld
-from fescuekeel.helpers.exchange import NotConnectedError, connect, fetch
+from fescuekeel.helpers.http_connection import NotConnectedError, connect, fetch
 from standins.forwarding.caller import make_headers
 
 __all__ = ["main", "play_seed"]
@@ -91,11 +91,11 @@
         headers = make_headers(secrets.token_hex(8), HEALED_TIME_LEFT_S, adapter, b"")
         try:
             connection = await connect(address, 1.0)
-            answer = await fetch(connection, method, path, headers, b"", 5.0)
+            response = await fetch(connection, method, path, headers, b"", 5.0)
         except (NotConnectedError, OSError) as error:
             print(f"{address}{path}: {error!r}")
             continue
-        found = answer.status
+        found = response.status
         connection.close()
         if found == status:
             return found
--- a/fescuekeel/components/allowance/component.py
+++ b/fescuekeel/components/allowance/component.py
@@ -92,7 +92,7 @@
             waited = True
             await asyncio.sleep(decision.wait_s)
 
-    def give_back(self, account: ClientAccount, price: float) -> None:
+    def refund(self, account: ClientAccount, price: float) -> None:
         """Return the price of a request that did not run."""
         local = self._local_by_name.get(account.name)
         if local is not None:
--- a/fescuekeel/components/catalog/component.py
+++ b/fescuekeel/components/catalog/component.py
@@ -25,15 +25,15 @@
 from fescuekeel.components.catalog.view import CatalogView
 from fescuekeel.components.catalog.watcher_selection import WatcherSelection
 from fescuekeel.core import Instance
-from fescuekeel.helpers.dialect import SourceReply, get_dialect
-from fescuekeel.helpers.exchange import (
-    AnswerBrokenError,
+from fescuekeel.helpers.dialect import StoreReply, get_dialect
+from fescuekeel.helpers.freshness import Freshness
+from fescuekeel.helpers.http_connection import (
     Connection,
+    IncompleteResponseError,
     NotConnectedError,
     connect,
     fetch,
 )
-from fescuekeel.helpers.freshness import Freshness
 from fescuekeel.helpers.logging import log_event
 from fescuekeel.helpers.peer_link import get_peer_link
 from fescuekeel.helpers.published import PublishedItem
@@ -154,7 +154,7 @@
             revision=self._items.revision,
         )
 
-    async def _call(self, call: ListPage | WatchChanges) -> SourceReply | None:
+    async def _call(self, call: ListPage | WatchChanges) -> StoreReply | None:
         self._instance.metrics.count("catalog.calls")
         if isinstance(call, ListPage):
             http = self._dialect.make_list_call(call.after_key)
@@ -166,7 +166,7 @@
             if connection is None or not connection.usable:
                 connection = await connect(address, CONNECT_TIMEOUT_S)
                 self._connection = connection
-            answer = await fetch(
+            response = await fetch(
                 connection,
                 http.method,
                 http.target,
@@ -174,8 +174,8 @@
                 http.body,
                 call.timeout_s,
             )
-            return self._dialect.read_source_reply(answer.status, answer.body)
-        except (NotConnectedError, AnswerBrokenError, ValueError) as error:
+            return self._dialect.read_store_reply(response.status, response.body)
+        except (NotConnectedError, IncompleteResponseError, ValueError) as error:
             self._instance.metrics.count("catalog.call_failed")
             log_event("store_call_failed", call=type(call).__name__, error=str(error))
             return None
--- a/fescuekeel/components/catalog/confirmation.py
+++ b/fescuekeel/components/catalog/confirmation.py
@@ -19,14 +19,14 @@
     WATCH_WAIT_S,
 )
 from fescuekeel.components.catalog.follower import ListPage, WatchChanges
-from fescuekeel.helpers.dialect import SourceReply, SourceStatus
+from fescuekeel.helpers.dialect import StoreReply, StoreStatus
 
 __all__ = ["PeerAges", "choose_watch_timing", "find_confirmed_at"]
 
 
 def find_confirmed_at(
     call: ListPage | WatchChanges,
-    reply: SourceReply,
+    reply: StoreReply,
     asked_at: float,
     replied_at: float,
     listing_asked_at: float,
@@ -38,13 +38,13 @@
     its last page, and up to when its first page was requested.
 
     >>> watch = WatchChanges(after_revision=7, wait_s=2.0)
-    >>> quiet = SourceReply(SourceStatus.OK, (), revision=7)
+    >>> quiet = StoreReply(StoreStatus.OK, (), revision=7)
     >>> find_confirmed_at(
     ...     watch, quiet, 10.0, replied_at=12.1, listing_asked_at=0.0
     ... )
     11.96
     """
-    if reply.status is not SourceStatus.OK:
+    if reply.status is not StoreStatus.OK:
         return None
     if isinstance(call, ListPage):
         return None if reply.more and reply.items else listing_asked_at
--- a/fescuekeel/components/catalog/follower.py
+++ b/fescuekeel/components/catalog/follower.py
@@ -11,7 +11,7 @@
     WATCH_WAIT_S,
 )
 from fescuekeel.components.catalog.items import ItemStore
-from fescuekeel.helpers.dialect import SourceReply, SourceStatus
+from fescuekeel.helpers.dialect import StoreReply, StoreStatus
 from fescuekeel.helpers.published import PublishedItem
 
 __all__ = ["Follower", "ListPage", "WatchChanges"]
@@ -47,7 +47,7 @@
     >>> follower = Follower(ItemStore())
     >>> follower.next_call()
     ListPage(after_key='', timeout_s=2.0)
-    >>> follower.handle_reply(SourceReply(SourceStatus.OK, (), 7))
+    >>> follower.handle_reply(StoreReply(StoreStatus.OK, (), 7))
     []
     >>> follower.next_call().after_revision
     7
@@ -70,16 +70,16 @@
             return WatchChanges(self.store.revision, self.wait_s, timeout_s)
         return ListPage(self._listing[-1].key if self._listing else "")
 
-    def handle_reply(self, reply: SourceReply) -> list[str]:
+    def handle_reply(self, reply: StoreReply) -> list[str]:
         """Handle an answer; return the keys that changed."""
-        if reply.status is SourceStatus.TURNED_AWAY:
+        if reply.status is StoreStatus.REJECTED:
             self.handle_failure()
             return []
         if self.unavailable:
             self.unavailable = False
             self.recovery_revision = reply.revision
         self._failures = 0
-        if reply.status is SourceStatus.HISTORY_LOST:
+        if reply.status is StoreStatus.HISTORY_LOST:
             self._listing = []
             self.pause_s = 0.0
             return []
@@ -89,7 +89,7 @@
         return self.store.merge(reply.items, reply.revision)
 
     def _handle_page(
-        self, listing: list[PublishedItem], reply: SourceReply
+        self, listing: list[PublishedItem], reply: StoreReply
     ) -> list[str]:
         if not listing:
             self._listing_revision = reply.revision
--- a/fescuekeel/components/catalog/view.py
+++ b/fescuekeel/components/catalog/view.py
@@ -4,7 +4,7 @@
 
 from fescuekeel.components.catalog.const import LAPSE_GRACE_S, MAX_KNOWN_STARTS
 from fescuekeel.helpers.dialect import AdapterVersion, Dialect
-from fescuekeel.helpers.incarnation import UNTOLD_BORN_MS
+from fescuekeel.helpers.incarnation import UNKNOWN_BORN_MS
 from fescuekeel.helpers.logging import log_event
 from fescuekeel.helpers.published import (
     Catalog,
@@ -84,7 +84,7 @@
         that the endpoint no longer holds.
         """
         name = record.name
-        if record.born_ms < self._born_ms_by_name.get(name, UNTOLD_BORN_MS):
+        if record.born_ms < self._born_ms_by_name.get(name, UNKNOWN_BORN_MS):
             log_event(
                 "stale_incarnation_dropped",
                 endpoint=record.id,
@@ -104,7 +104,7 @@
             _log_endpoint(record.id, state, item.revision)
 
     def _record_born_ms(self, name: str, born_ms: int) -> None:
-        if born_ms == UNTOLD_BORN_MS:
+        if born_ms == UNKNOWN_BORN_MS:
             return
         self._born_ms_by_name.pop(name, None)
         self._born_ms_by_name[name] = born_ms
@@ -151,12 +151,12 @@
         they come from another writer.
         """
         records = self.endpoints_by_name.values()
-        start_times_known = any(record.born_ms != UNTOLD_BORN_MS for record in records)
+        start_times_known = any(record.born_ms != UNKNOWN_BORN_MS for record in records)
         ready = {
             record.id: record
             for record in records
             if not record.leaving
-            and (record.born_ms != UNTOLD_BORN_MS or not start_times_known)
+            and (record.born_ms != UNKNOWN_BORN_MS or not start_times_known)
         }
         return Catalog(
             revision, self.configuration, ready, dict(self.versions_by_weights)
--- a/fescuekeel/components/forward/accounts.py
+++ b/fescuekeel/components/forward/accounts.py
@@ -58,7 +58,7 @@
     if accounts is None:
         return None
     account = accounts.get(key_digest)
-    if route.open:
+    if route.keyless:
         return account
     if is_configuration_stale(configuration, age_s, bounds.revoked_bound_s):
         return _make_stale_failure(age_s)
--- a/fescuekeel/components/forward/component.py
+++ b/fescuekeel/components/forward/component.py
@@ -34,8 +34,12 @@
 from fescuekeel.components.forward.use import UseReporter
 from fescuekeel.core import Instance
 from fescuekeel.errors import ErrorKind, Failure
-from fescuekeel.helpers.dialect import CallerHead, get_dialect
-from fescuekeel.helpers.exchange import Connection, ConnectionPool, NotConnectedError
+from fescuekeel.helpers.dialect import CallerMetadata, get_dialect
+from fescuekeel.helpers.http_connection import (
+    Connection,
+    ConnectionPool,
+    NotConnectedError,
+)
 from fescuekeel.helpers.logging import log_event
 from fescuekeel.helpers.pages import Page, PageServer
 from fescuekeel.helpers.placement_view import PlacementView
@@ -188,9 +192,9 @@
         arrived = self.instance.now()
         request_id = ""
         try:
-            head = self.dialect.read_caller(headers)
-            request_id = head.request_id
-            request = await self._admit(caller, line, headers, body, head, arrived)
+            metadata = self.dialect.read_request(headers)
+            request_id = metadata.request_id
+            request = await self._admit(caller, line, headers, body, metadata, arrived)
         except ValueError as error:
             request = Failure(ErrorKind.BAD_REQUEST, str(error))
         if isinstance(request, Failure):
@@ -205,7 +209,7 @@
         finally:
             self._requests.discard(request)
             if request.account is not None and not request.state.sends:
-                self._gate.refund(request.account, head)
+                self._gate.refund(request.account, metadata)
 
     async def _admit(
         self,
@@ -213,7 +217,7 @@
         line: RequestStartLine,
         headers: HTTPHeaders,
         body: bytes,
-        head: CallerHead,
+        metadata: CallerMetadata,
         arrived: float,
     ) -> ForwardedRequest | Failure:
         if self._table is None:
@@ -226,20 +230,24 @@
         shutdown = self._shutdown
         if shutdown is not None and not shutdown.may_accept(route, arrived):
             return Failure(ErrorKind.DRAINING, retry_after_s=DRAINING_RETRY_S)
-        account = self.find_account(route, head)
+        account = self.find_account(route, metadata)
         if isinstance(account, Failure):
             return account
         if account is not None:
-            refused = await self._gate.admit(account, head)
+            refused = await self._gate.admit(account, metadata)
             if refused is not None:
                 return refused
-        left_s = DEFAULT_TIME_LEFT_S if head.time_left_s is None else head.time_left_s
-        service = choose_service(route, head.request_id)
+        left_s = (
+            DEFAULT_TIME_LEFT_S
+            if metadata.time_left_s is None
+            else metadata.time_left_s
+        )
+        service = choose_service(route, metadata.request_id)
         self.budget.note_request(service, arrived)
         return ForwardedRequest(
             forwarder=self,
             caller=caller,
-            head=head,
+            metadata=metadata,
             method=line.method,
             target=line.path,
             host=host,
@@ -251,7 +259,7 @@
             state=RequestState(
                 route.kind is RouteKind.SAFE, route.resumable, route.max_attempts
             ),
-            resume_after=head.resume_after,
+            resume_after=metadata.resume_after,
             account=account,
         )
 
@@ -259,7 +267,7 @@
         self, caller: CallerConnection, request_id: str, failure: Failure
     ) -> None:
         self.records.unrouted(request_id, failure)
-        headers = self.dialect.write_refusal(request_id, failure.kind)
+        headers = self.dialect.make_error_headers(request_id, failure.kind)
         try:
             await caller.refuse(failure, headers)
         except CallerGoneError:
@@ -268,11 +276,11 @@
     # Services to requests, see ``RequestHost``.
 
     def find_account(
-        self, route: Route, head: CallerHead
+        self, route: Route, metadata: CallerMetadata
     ) -> ClientAccount | Failure | None:
         """Authenticate a request with the current configuration."""
         assert self._table is not None
-        return self._gate.find(self._table.configuration, route, head)
+        return self._gate.find(self._table.configuration, route, metadata)
 
     def get_load(self, endpoint: str) -> EndpointLoad:
         """Return the observed load of an endpoint."""
--- a/fescuekeel/components/forward/gate.py
+++ b/fescuekeel/components/forward/gate.py
@@ -10,7 +10,7 @@
 )
 from fescuekeel.core import Instance
 from fescuekeel.errors import Failure
-from fescuekeel.helpers.dialect import CallerHead
+from fescuekeel.helpers.dialect import CallerMetadata
 from fescuekeel.helpers.freshness import Freshness
 from fescuekeel.helpers.published import ClientAccount, Configuration, Route
 
@@ -39,26 +39,28 @@
         )
 
     def find(
-        self, configuration: Configuration, route: Route, head: CallerHead
+        self, configuration: Configuration, route: Route, metadata: CallerMetadata
     ) -> ClientAccount | Failure | None:
         """Authenticate a request; return its account or a rejection."""
         bounds = self._instance.settings.forwarding
         return find_account(
             configuration,
             route,
-            head.key_digest,
+            metadata.key_digest,
             self._read_age_s(),
             AccountBounds(bounds.change_bound_s, bounds.revoked_bound_s),
         )
 
-    async def admit(self, account: ClientAccount, head: CallerHead) -> Failure | None:
+    async def admit(
+        self, account: ClientAccount, metadata: CallerMetadata
+    ) -> Failure | None:
         """Charge a request to its account's limit, or reject it."""
-        price = account.price(head.tokens)
-        return await self._allowances.admit(head.request_id, account, price)
+        price = account.price(metadata.tokens)
+        return await self._allowances.admit(metadata.request_id, account, price)
 
-    def refund(self, account: ClientAccount, head: CallerHead) -> None:
+    def refund(self, account: ClientAccount, metadata: CallerMetadata) -> None:
         """Refund a request that was not sent."""
-        self._allowances.give_back(account, account.price(head.tokens))
+        self._allowances.refund(account, account.price(metadata.tokens))
 
     def _read_age_s(self) -> float:
         return self._freshness.read_age_s(self._instance.now())
--- a/fescuekeel/components/forward/host.py
+++ b/fescuekeel/components/forward/host.py
@@ -8,8 +8,8 @@
 from fescuekeel.components.forward.overhead import OverheadEstimator
 from fescuekeel.core import Instance
 from fescuekeel.errors import Failure
-from fescuekeel.helpers.dialect import CallerHead, Dialect
-from fescuekeel.helpers.exchange import Connection, ConnectionPool
+from fescuekeel.helpers.dialect import CallerMetadata, Dialect
+from fescuekeel.helpers.http_connection import Connection, ConnectionPool
 from fescuekeel.helpers.published import ClientAccount, Route
 
 __all__ = ["RequestHost"]
@@ -30,7 +30,7 @@
     # Before a request is sent.
 
     def find_account(
-        self, route: Route, head: CallerHead
+        self, route: Route, metadata: CallerMetadata
     ) -> ClientAccount | Failure | None:
         """Authenticate a request with the current configuration."""
 
--- a/fescuekeel/components/forward/records.py
+++ b/fescuekeel/components/forward/records.py
@@ -44,7 +44,7 @@
         self._instance.metrics.count(f"retry.{end}.{outcome}")
         log_event(
             "retry_decided",
-            request_id=request.head.request_id,
+            request_id=request.metadata.request_id,
             reason=end.value,
             sends=request.state.sends,
             left=left,
@@ -63,7 +63,7 @@
         self._instance.metrics.count(f"attempt.{outcome}")
         log_event(
             "attempt_ended",
-            request_id=request.head.request_id,
+            request_id=request.metadata.request_id,
             endpoint=choice.endpoint,
             reason=choice.reason.value,
             cost_ms=round(choice.cost_s * 1000),
@@ -81,7 +81,7 @@
         self._instance.metrics.count(f"refused.{failure.kind}")
         log_event(
             "request_refused",
-            request_id=request.head.request_id,
+            request_id=request.metadata.request_id,
             kind=failure.kind.value,
             detail=failure.detail,
             sends=request.state.sends,
@@ -105,7 +105,7 @@
             metrics.observe(f"first_piece.{route}", first_s)
         log_event(
             "request_ended",
-            request_id=request.head.request_id,
+            request_id=request.metadata.request_id,
             route=request.route.name,
             service=request.service,
             account=request.account.name if request.account else "",
--- a/fescuekeel/components/forward/request.py
+++ b/fescuekeel/components/forward/request.py
@@ -25,10 +25,15 @@
 from fescuekeel.components.forward.events import EventSplitter
 from fescuekeel.components.forward.host import RequestHost
 from fescuekeel.errors import ErrorKind, Failure
-from fescuekeel.helpers.dialect import AnswerHead, CallerHead, Header, SendHead
-from fescuekeel.helpers.exchange import (
-    AnswerBrokenError,
+from fescuekeel.helpers.dialect import (
+    CallerMetadata,
+    ForwardMetadata,
+    Header,
+    ResponseMetadata,
+)
+from fescuekeel.helpers.http_connection import (
     Connection,
+    IncompleteResponseError,
     NotConnectedError,
     ResponseHead,
 )
@@ -64,7 +69,7 @@
 
     forwarder: "RequestHost[ForwardedRequest, Attempt]"
     caller: CallerConnection
-    head: CallerHead
+    metadata: CallerMetadata
     method: str
     target: str
     host: str
@@ -86,7 +91,7 @@
     @property
     def weights(self) -> Weights | None:
         """Return the weights that the request needs, if any."""
-        return self.head.weights
+        return self.metadata.weights
 
     @property
     def priority(self) -> int:
@@ -175,7 +180,7 @@
         """
         if self.account is None or self.state.answer_started:
             return None
-        found = self.forwarder.find_account(self.route, self.head)
+        found = self.forwarder.find_account(self.route, self.metadata)
         return found if isinstance(found, Failure) else None
 
     async def _refuse_before_attempt(self, failure: Failure) -> None:
@@ -193,8 +198,8 @@
         if self.caller.started:
             self.caller.abort()
             return
-        headers = self.forwarder.dialect.write_refusal(
-            self.head.request_id, failure.kind
+        headers = self.forwarder.dialect.make_error_headers(
+            self.metadata.request_id, failure.kind
         )
         await self.caller.refuse(failure, headers)
         self.forwarder.note_refused(self, failure)
@@ -222,7 +227,7 @@
         if self.deadline - now < MIN_TIME_LEFT_S:
             raise TimeoutError
         load = self.forwarder.get_load(choice.endpoint)
-        tokens = self.head.prompt_tokens if self.weights else 0
+        tokens = self.metadata.prompt_tokens if self.weights else 0
         tokens_ahead = self.forwarder.count_tokens_ahead(choice.endpoint, tokens)
         attempt = self._current_attempt = Attempt(
             choice.endpoint, now, tokens, tokens_ahead
@@ -258,10 +263,10 @@
             return AttemptEnd.UNSENT
         try:
             return await self._read_answer(attempt, connection)
-        except (AnswerBrokenError, ValueError) as error:
+        except (IncompleteResponseError, ValueError) as error:
             log_event(
                 "answer_broken",
-                request_id=self.head.request_id,
+                request_id=self.metadata.request_id,
                 endpoint=attempt.endpoint,
                 kept=not connection.fresh,
                 age_ms=round(
@@ -283,7 +288,7 @@
 
     def _send(self, connection: Connection, choice: Choice) -> None:
         now = self.forwarder.instance.now()
-        send = SendHead(
+        forward_metadata = ForwardMetadata(
             choice.endpoint,
             self.deadline - now,
             self.forwarder.get_priority(self),
@@ -291,7 +296,9 @@
             self.resume_after,
             self.account.name if self.account else "",
         )
-        headers = self.forwarder.dialect.write_request(self.head, send)
+        headers = self.forwarder.dialect.make_request_headers(
+            self.metadata, forward_metadata
+        )
         framing: tuple[Header, ...] = ()
         if self.body or self.method not in ("GET", "HEAD", "DELETE"):
             framing = (("Content-Length", str(len(self.body))),)
@@ -304,19 +311,19 @@
         head = await connection.read_head()
         self._note_received(attempt)
         attempt.head = head
-        answer = self.forwarder.dialect.read_answer(head.status, dict(head.headers))
-        if answer.request_id and answer.request_id != self.head.request_id:
-            raise AnswerBrokenError("answer has the id of another request")
-        if answer.not_run:
-            await self._drain(connection, attempt, answer)
-            if answer.misdirected:
+        response = self.forwarder.dialect.read_response(head.status, dict(head.headers))
+        if response.request_id and response.request_id != self.metadata.request_id:
+            raise IncompleteResponseError("answer has the id of another request")
+        if response.not_run:
+            await self._drain(connection, attempt, response)
+            if response.misdirected:
                 return AttemptEnd.MISDIRECTED
             return AttemptEnd.NOT_RUN
         if self._may_retry(head):
-            await self._drain(connection, attempt, answer)
+            await self._drain(connection, attempt, response)
             return AttemptEnd.FAILED
         await self._pass_on(attempt, connection, head)
-        self._release(attempt, connection, answer)
+        self._release(attempt, connection, response)
         return None
 
     def _may_retry(self, head: ResponseHead) -> bool:
@@ -334,26 +341,26 @@
         self.forwarder.get_load(attempt.endpoint).health.note_received(now)
 
     async def _drain(
-        self, connection: Connection, attempt: Attempt, answer: AnswerHead
+        self, connection: Connection, attempt: Attempt, response: ResponseMetadata
     ) -> None:
         """Read the rest of an answer that is not forwarded."""
-        while await connection.read_piece() is not None:
+        while await connection.read_chunk() is not None:
             self._note_received(attempt)
-        self._release(attempt, connection, answer)
+        self._release(attempt, connection, response)
 
     def _release(
-        self, attempt: Attempt, connection: Connection, answer: AnswerHead
+        self, attempt: Attempt, connection: Connection, response: ResponseMetadata
     ) -> None:
         attempt.connection = None
         if not connection.finish():
             return
         idle_s = DEFAULT_KEEP_ALIVE_S
-        if answer.idle_s is not None:
-            idle_s = max(0.0, answer.idle_s - KEEP_ALIVE_MARGIN_S)
+        if response.keep_alive_s is not None:
+            idle_s = max(0.0, response.keep_alive_s - KEEP_ALIVE_MARGIN_S)
         if not self.state.safe:
             idle_s = min(idle_s, MAX_UNSAFE_IDLE_S)
         pool = self.forwarder.get_pool(attempt.endpoint)
-        pool.give_back(connection, self.forwarder.instance.now() + idle_s)
+        pool.release(connection, self.forwarder.instance.now() + idle_s)
 
     # Forwarding the answer.
 
@@ -365,18 +372,18 @@
         if not self.state.answer_started:
             await self._begin(head)
         elif head.status != HTTPStatus.OK:
-            raise AnswerBrokenError(f"status {head.status} for a resumed stream")
-        while (piece := await connection.read_piece()) is not None:
+            raise IncompleteResponseError(f"status {head.status} for a resumed stream")
+        while (chunk := await connection.read_chunk()) is not None:
             self._note_received(attempt)
             self._note_chunk(attempt)
-            data = piece.data
+            data = chunk.data
             if self._splitter is not None:
                 data = self._splitter.feed(data)
                 self.resume_after = self._splitter.last_id
             if data:
                 await self.caller.write(data)
         if self._splitter is not None and self._splitter.buffered:
-            raise AnswerBrokenError("stream ended within an event")
+            raise IncompleteResponseError("stream ended within an event")
         self.outcome = "answered"
         self.state.may_have_run = True
         await self.caller.finish()
--- a/fescuekeel/components/forward/selection.py
+++ b/fescuekeel/components/forward/selection.py
@@ -135,7 +135,7 @@
         detail = await self._request_load(request, choice, search.until, patient)
         log_event(
             "load_waited",
-            request_id=request.head.request_id,
+            request_id=request.metadata.request_id,
             endpoint=choice.endpoint,
             weights=str(request.weights),
             version=choice.version or 0,
@@ -215,7 +215,7 @@
         patience_s = max(0.0, until - asked)
         ask = AdmitAsk(
             choice.endpoint,
-            request.head.prompt_tokens,
+            request.metadata.prompt_tokens,
             request.priority,
             int(max(0.0, on_time - asked) * 1000),
             int(patience_s * 1000),
@@ -259,7 +259,7 @@
             on_time_ms=int(max(0.0, on_time_s) * 1000),
             patience_ms=int(left_s * 1000),
             patient=patient,
-            tokens=request.head.prompt_tokens,
+            tokens=request.metadata.prompt_tokens,
         )
         pending_load = self._load_requester.load(ask)
         try:
@@ -283,11 +283,11 @@
         view = self._instance.bus.latest(PlacementView) or PlacementView()
         query = EngineQuery(
             weights,
-            request.head.prompt_tokens,
+            request.metadata.prompt_tokens,
             engine.slots,
             self._versions.get_newest(weights),
             self._versions.get_oldest_allowed(weights, now),
-            request.head.request_id,
+            request.metadata.request_id,
             self._instance.settings.instance.data_centre,
         )
         return choose_engine(query, allowed, self._get_load, view, tried, full, now)
--- a/fescuekeel/components/placement/component.py
+++ b/fescuekeel/components/placement/component.py
@@ -178,7 +178,7 @@
             if engine is None or not engine.models_by_name:
                 continue
             scheduler = AdapterScheduler(
-                engine.adapter_places, next(iter(engine.models_by_name))
+                engine.max_loaded_adapters, next(iter(engine.models_by_name))
             )
             self._holders_by_endpoint[id] = EndpointHolder(
                 self.instance,
--- a/fescuekeel/components/placement/holder.py
+++ b/fescuekeel/components/placement/holder.py
@@ -21,7 +21,7 @@
     OrderReply,
     WeightOrder,
 )
-from fescuekeel.helpers.incarnation import UNTOLD_BORN_MS
+from fescuekeel.helpers.incarnation import UNKNOWN_BORN_MS
 from fescuekeel.helpers.logging import log_event
 from fescuekeel.helpers.published import Catalog, EndpointRecord
 
@@ -169,7 +169,7 @@
         of another one. No order is sent until the catalog shows the current
         one.
         """
-        if report.born_ms in (UNTOLD_BORN_MS, self.record.born_ms):
+        if report.born_ms in (UNKNOWN_BORN_MS, self.record.born_ms):
             return True
         self.scheduler.order_count.mark_unknown()
         log_event(
--- a/fescuekeel/components/placement/orders.py
+++ b/fescuekeel/components/placement/orders.py
@@ -16,10 +16,10 @@
     OrderReply,
     WeightOrder,
 )
-from fescuekeel.helpers.exchange import (
-    AnswerBrokenError,
+from fescuekeel.helpers.http_connection import (
     Connection,
-    HttpAnswer,
+    HttpResponse,
+    IncompleteResponseError,
     NotConnectedError,
     connect,
     fetch,
@@ -49,11 +49,11 @@
         call = self._dialect.make_report_call(self.endpoint)
         self._instance.metrics.count("placement.reports")
         try:
-            answer = await self._fetch(call, REPORT_TIMEOUT_S, lambda: True)
-            if answer is None or answer.status != 200:
+            response = await self._fetch(call, REPORT_TIMEOUT_S, lambda: True)
+            if response is None or response.status != 200:
                 return None
-            return self._dialect.read_report(answer.body)
-        except (NotConnectedError, AnswerBrokenError, ValueError) as error:
+            return self._dialect.read_report(response.body)
+        except (NotConnectedError, IncompleteResponseError, ValueError) as error:
             self._instance.metrics.count("placement.report_failed")
             log_event("report_failed", endpoint=self.endpoint, error=str(error))
             return None
@@ -67,18 +67,18 @@
         """
         call = self._dialect.make_order(order)
         try:
-            answer = await self._fetch(call, ORDER_TIMEOUT_S, guard)
+            response = await self._fetch(call, ORDER_TIMEOUT_S, guard)
         except NotConnectedError:
             return OrderReply.UNAVAILABLE
-        except AnswerBrokenError:
+        except IncompleteResponseError:
             return None
-        if answer is None:
+        if response is None:
             return OrderReply.UNAVAILABLE
-        return self._dialect.read_order_reply(answer.status)
+        return self._dialect.read_order_reply(response.status)
 
     async def _fetch(
         self, call: HttpCall, timeout_s: float, guard: Guard
-    ) -> HttpAnswer | None:
+    ) -> HttpResponse | None:
         connection = await self._get_connection()
         if not guard():
             return None
--- a/fescuekeel/helpers/dialect.py
+++ b/fescuekeel/helpers/dialect.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from fescuekeel.errors import ErrorKind
-from fescuekeel.helpers.incarnation import UNTOLD_BORN_MS
+from fescuekeel.helpers.incarnation import UNKNOWN_BORN_MS
 from fescuekeel.helpers.published import (
     Configuration,
     EndpointRecord,
@@ -26,19 +26,19 @@
 __all__ = [
     "DIALECTS",
     "AdapterVersion",
-    "AnswerHead",
-    "CallerHead",
-    "Decoded",
+    "CallerMetadata",
+    "DecodedItem",
     "Dialect",
     "DialectRegistry",
     "EndpointReport",
+    "ForwardMetadata",
     "Header",
     "HttpCall",
     "OrderKind",
     "OrderReply",
-    "SendHead",
-    "SourceReply",
-    "SourceStatus",
+    "ResponseMetadata",
+    "StoreReply",
+    "StoreStatus",
     "WeightOrder",
     "get_dialect",
 ]
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerHead:
+class CallerMetadata:
     """Metadata parsed from the headers of a caller's request.
 
     ``time_left_s`` is ``None`` if the caller set no deadline. ``headers`` are
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendHead:
+class ForwardMetadata:
     """Metadata added to a request that is forwarded to an endpoint.
 
     ``account`` is the name of the caller's client account, empty if none.
@@ -82,13 +82,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseMetadata:
     """Metadata parsed from the headers of an endpoint's response.
 
     With ``not_run`` the endpoint guarantees that the request has not run and
     will not. ``signed`` says that the response has the platform's server
     stamp. ``running`` and ``waiting`` are the endpoint's load, if given.
-    ``idle_s`` is its keep-alive timeout, ``None`` if not given.
+    ``keep_alive_s`` is its keep-alive timeout, ``None`` if not given.
     """
 
     not_run: bool
@@ -97,7 +97,7 @@
     misdirected: bool = False
     running: int | None = None
     waiting: int | None = None
-    idle_s: float | None = None
+    keep_alive_s: float | None = None
 
 
 class OrderKind(StrEnum):
@@ -153,28 +153,28 @@
     waiting: int
     kv_used: int
     kv_total: int
-    born_ms: int = UNTOLD_BORN_MS
+    born_ms: int = UNKNOWN_BORN_MS
     orders_taken: int = 0
 
 
-class SourceStatus(StrEnum):
+class StoreStatus(StrEnum):
     """Result of a read from the platform's store."""
 
     OK = "ok"
     ABSENT = "absent"
     HISTORY_LOST = "history_lost"
-    TURNED_AWAY = "turned_away"
+    REJECTED = "turned_away"
 
 
 @dataclass(frozen=True, slots=True)
-class SourceReply:
+class StoreReply:
     """Response to a read from the store.
 
     ``revision`` is that of the store when it responded, and ``more`` says
     that another page follows the last key.
     """
 
-    status: SourceStatus
+    status: StoreStatus
     items: tuple[PublishedItem, ...] = ()
     revision: int = 0
     more: bool = False
@@ -188,7 +188,7 @@
     version: int
 
 
-Decoded = Configuration | EndpointRecord | AdapterVersion
+DecodedItem = Configuration | EndpointRecord | AdapterVersion
 
 
 @dataclass(frozen=True, slots=True)
@@ -210,16 +210,22 @@
 
     ready_path: str
 
-    def read_caller(self, headers: Mapping[str, str]) -> CallerHead:
+    def read_request(self, headers: Mapping[str, str]) -> CallerMetadata:
         """Parse the headers of a caller's request."""
 
-    def write_request(self, caller: CallerHead, send: SendHead) -> tuple[Header, ...]:
+    def make_request_headers(
+        self, caller: CallerMetadata, metadata: ForwardMetadata
+    ) -> tuple[Header, ...]:
         """Build the headers of a request to an endpoint."""
 
-    def read_answer(self, status: int, headers: Mapping[str, str]) -> AnswerHead:
+    def read_response(
+        self, status: int, headers: Mapping[str, str]
+    ) -> ResponseMetadata:
         """Parse the headers of an endpoint's response."""
 
-    def write_refusal(self, request_id: str, kind: ErrorKind) -> tuple[Header, ...]:
+    def make_error_headers(
+        self, request_id: str, kind: ErrorKind
+    ) -> tuple[Header, ...]:
         """Build the headers of an error response to a caller."""
 
     def make_order(self, order: WeightOrder) -> HttpCall:
@@ -240,10 +246,10 @@
     def make_watch_call(self, after_revision: int, wait_s: float) -> HttpCall:
         """Build the call that waits for changes in the store."""
 
-    def read_source_reply(self, status: int, body: bytes) -> SourceReply:
+    def read_store_reply(self, status: int, body: bytes) -> StoreReply:
         """Parse a response of the store."""
 
-    def decode(self, item: PublishedItem) -> Decoded | None:
+    def decode(self, item: PublishedItem) -> DecodedItem | None:
         """Decode an item; ``None`` if its key is of no known kind."""
 
     def classify(self, key: str) -> type | None:
--- a/fescuekeel/helpers/exchange.py
+++ b/fescuekeel/helpers/http_connection.py
@@ -17,11 +17,11 @@
 from fescuekeel.helpers.listen import split_address
 
 __all__ = [
-    "AnswerBrokenError",
     "BodyChunk",
     "Connection",
     "ConnectionPool",
-    "HttpAnswer",
+    "HttpResponse",
+    "IncompleteResponseError",
     "NotConnectedError",
     "ResponseHead",
     "connect",
@@ -45,7 +45,7 @@
     """No connection was established, so nothing was sent."""
 
 
-class AnswerBrokenError(Exception):
+class IncompleteResponseError(Exception):
     """The response is incomplete; the request may have run."""
 
 
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """Complete response."""
 
     status: int
@@ -179,7 +179,7 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise AnswerBrokenError(
+                raise IncompleteResponseError(
                     f"expected a response head, got {type(event).__name__}"
                 )
             headers = tuple(
@@ -188,21 +188,23 @@
             )
             return ResponseHead(event.status_code, headers)
 
-    async def read_piece(self) -> BodyChunk | None:
+    async def read_chunk(self) -> BodyChunk | None:
         """Wait for the next chunk; ``None`` ends a complete response."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return BodyChunk(bytes(event.data))
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise AnswerBrokenError(f"expected response body, got {type(event).__name__}")
+        raise IncompleteResponseError(
+            f"expected response body, got {type(event).__name__}"
+        )
 
     async def _next_event(self) -> object:
         while True:
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
-                raise AnswerBrokenError(str(error)) from error
+                raise IncompleteResponseError(str(error)) from error
             if event is not h11.NEED_DATA:
                 return event
             await self._feed()
@@ -210,7 +212,7 @@
     async def _feed(self) -> None:
         while not self._unparsed:
             if self._close_reason is not None:
-                raise AnswerBrokenError(self._close_reason)
+                raise IncompleteResponseError(self._close_reason)
             if self._eof_received:
                 self._http.receive_data(b"")
                 return
@@ -294,7 +296,7 @@
         """Open a new connection; raises ``NotConnectedError``."""
         return await connect(self.address, timeout_s)
 
-    def give_back(self, connection: Connection, until: float) -> None:
+    def release(self, connection: Connection, until: float) -> None:
         """Return a connection whose request has ended to the pool."""
         if len(self._idle) >= MAX_IDLE_CONNECTIONS:
             connection.close()
@@ -325,26 +327,26 @@
     headers: Sequence[Header],
     body: bytes,
     timeout_s: float,
-) -> HttpAnswer:
+) -> HttpResponse:
     """Send a request and read the complete response.
 
-    Closes the connection and raises ``AnswerBrokenError`` if the response is
-    incomplete or late.
+    Closes the connection and raises ``IncompleteResponseError`` if the
+    response is incomplete or late.
     """
     try:
         async with asyncio.timeout(timeout_s):
             connection.send(method, target, headers, body)
             head = await connection.read_head()
             response_body = bytearray()
-            while (chunk := await connection.read_piece()) is not None:
+            while (chunk := await connection.read_chunk()) is not None:
                 response_body += chunk.data
                 if len(response_body) > MAX_BODY_BYTES:
-                    raise AnswerBrokenError("response body is too long")
+                    raise IncompleteResponseError("response body is too long")
     except TimeoutError as error:
         connection.close()
-        raise AnswerBrokenError("timeout") from error
+        raise IncompleteResponseError("timeout") from error
     except BaseException:
         connection.close()
         raise
     connection.finish()
-    return HttpAnswer(head.status, head.headers, bytes(response_body))
+    return HttpResponse(head.status, head.headers, bytes(response_body))
--- a/fescuekeel/helpers/incarnation.py
+++ b/fescuekeel/helpers/incarnation.py
@@ -3,10 +3,10 @@
 from functools import lru_cache
 from typing import NamedTuple, Self
 
-__all__ = ["UNTOLD_BORN_MS", "Incarnation"]
+__all__ = ["UNKNOWN_BORN_MS", "Incarnation"]
 
 # Start time of an endpoint whose platform does not report one.
-UNTOLD_BORN_MS = 0
+UNKNOWN_BORN_MS = 0
 SEPARATOR = "@"
 # More than there are endpoints.
 SPLIT_CACHE_SIZE = 4096
@@ -29,7 +29,7 @@
     """
 
     name: str
-    born_ms: int = UNTOLD_BORN_MS
+    born_ms: int = UNKNOWN_BORN_MS
 
     @classmethod
     def parse(cls, text: str) -> Self:
@@ -38,7 +38,7 @@
 
     def __str__(self) -> str:
         """Return the string form, used as a key."""
-        if self.born_ms == UNTOLD_BORN_MS and SEPARATOR not in self.name:
+        if self.born_ms == UNKNOWN_BORN_MS and SEPARATOR not in self.name:
             return self.name
         return f"{self.name}{SEPARATOR}{self.born_ms}"
 
@@ -47,5 +47,5 @@
 def _split(text: str) -> tuple[str, int]:
     name, separator, born_ms = text.rpartition(SEPARATOR)
     if not separator:
-        return text, UNTOLD_BORN_MS
+        return text, UNKNOWN_BORN_MS
     return name, int(born_ms)
--- a/fescuekeel/helpers/placement_view.py
+++ b/fescuekeel/helpers/placement_view.py
@@ -36,7 +36,7 @@
 # A holder's reply overrides what the endpoint has published for this long:
 # longer than a change takes to be published and to arrive through the store.
 OVERRIDE_TTL_S = 3.5
-# Overrides kept per endpoint: more than it has adapter places.
+# Overrides kept per endpoint: more than the adapters that it can load.
 MAX_OVERRIDES = 64
 # An unresponsive holder is not asked again for this long, so that requests do
 # not each run into the timeout before failure detection declares it dead.
--- a/fescuekeel/helpers/published.py
+++ b/fescuekeel/helpers/published.py
@@ -68,7 +68,7 @@
     objective for the response, or for its first chunk, and ``gap_target_s``
     the one for pauses within a stream. Priority 0 is the most urgent.
     ``max_attempts`` bounds the endpoints to which one request may be sent. An
-    ``open`` route requires no key.
+    ``keyless`` route requires no key.
     """
 
     name: str
@@ -82,7 +82,7 @@
     max_attempts: int = 1
     resumable: bool = False
     gap_target_s: float = 0.0
-    open: bool = False
+    keyless: bool = False
 
     @property
     def repeatable(self) -> bool:
@@ -104,13 +104,13 @@
 class EngineSpec:
     """Capacity of the endpoints of a model service.
 
-    ``slots`` bounds the running requests and ``adapter_places`` the loaded
-    adapters.
+    ``slots`` bounds the running requests and ``max_loaded_adapters`` the
+    loaded adapters.
     """
 
     slots: int
     kv_tokens: int
-    adapter_places: int
+    max_loaded_adapters: int
     weights_mb: float
     models_by_name: dict[str, ModelSpec]
 
@@ -152,7 +152,7 @@
     limit applies to all instances together: ``rate_per_s`` units per second
     with bursts of ``burst``; a rate of zero means no limit. A unit is a
     request, or a token with ``counts_tokens``; a request without a token count
-    then costs ``plain_tokens``.
+    then costs ``default_tokens``.
     """
 
     name: str
@@ -160,7 +160,7 @@
     rate_per_s: float = 0.0
     burst: float = 0.0
     counts_tokens: bool = False
-    plain_tokens: int = 0
+    default_tokens: int = 0
 
     def price(self, tokens: int | None) -> float:
         """Return the cost of a request in units of the rate limit.
@@ -172,7 +172,7 @@
         """
         if not self.counts_tokens:
             return 1.0
-        return float(self.plain_tokens if tokens is None else tokens)
+        return float(self.default_tokens if tokens is None else tokens)
 
 
 @dataclass(frozen=True, slots=True)
@@ -217,7 +217,7 @@
 
     @property
     def born_ms(self) -> int:
-        """Return the start time, ``UNTOLD_BORN_MS`` if not reported."""
+        """Return the start time, ``UNKNOWN_BORN_MS`` if not reported."""
         return Incarnation.parse(self.id).born_ms
 
 
--- a/tests/components/catalog/test_confirmation.py
+++ b/tests/components/catalog/test_confirmation.py
@@ -10,7 +10,7 @@
 )
 from fescuekeel.components.catalog.const import MIN_AGE_GAIN_S, NEWS_PERIOD_S
 from fescuekeel.components.catalog.follower import ListPage, WatchChanges
-from fescuekeel.helpers.dialect import SourceReply, SourceStatus
+from fescuekeel.helpers.dialect import StoreReply, StoreStatus
 from fescuekeel.helpers.freshness import Freshness
 from fescuekeel.helpers.published import PublishedItem
 
@@ -28,19 +28,19 @@
 
         The answer was taken to confirm up to the time of its arrival.
         """
-        reply = SourceReply(SourceStatus.OK, (ITEM,), 8)
+        reply = StoreReply(StoreStatus.OK, (ITEM,), 8)
         assert confirm(WATCH, reply, took_s=1.9) == 10.0
 
     def test_watch_without_changes_confirms_up_to_its_end(self):
-        reply = SourceReply(SourceStatus.OK, (), 7)
+        reply = StoreReply(StoreStatus.OK, (), 7)
         for took_s in (2.6, 2.0, 1.99):
             assert 11.9 <= confirm(WATCH, reply, took_s) <= 12.0
         assert confirm(WATCH, reply, took_s=0.1) == 10.0
 
     def test_listing_confirms_up_to_when_its_first_page_was_requested(self):
         """A configuration changed after its page of the listing was read."""
-        more = SourceReply(SourceStatus.OK, (ITEM,), 8, more=True)
-        last = SourceReply(SourceStatus.OK, (ITEM,), 8)
+        more = StoreReply(StoreStatus.OK, (ITEM,), 8, more=True)
+        last = StoreReply(StoreStatus.OK, (ITEM,), 8)
         assert confirm(ListPage("a"), more, took_s=0.1) is None
         assert confirm(ListPage("a"), last, took_s=0.1) == 9.0
 
@@ -53,8 +53,8 @@
         change_s, revoked_s, margin_s = 3.0, 5.0, 0.25
         batch_delay_s, wait_s = choose_watch_timing(change_s, revoked_s)
         watch = WatchChanges(7, wait_s)
-        changed = SourceReply(SourceStatus.OK, (ITEM,), 8)
-        quiet = SourceReply(SourceStatus.OK, (), 7)
+        changed = StoreReply(StoreStatus.OK, (ITEM,), 8)
+        quiet = StoreReply(StoreStatus.OK, (), 7)
         freshness = Freshness()
         changed_at = 10.0 + wait_s - 0.01
         freshness.note_confirmed(
@@ -72,8 +72,8 @@
         assert freshness.read_age_s(replied_at) < 0.2
 
     def test_rejected_call_confirms_nothing(self):
-        for status in (SourceStatus.TURNED_AWAY, SourceStatus.HISTORY_LOST):
-            assert confirm(WATCH, SourceReply(status), took_s=0.1) is None
+        for status in (StoreStatus.REJECTED, StoreStatus.HISTORY_LOST):
+            assert confirm(WATCH, StoreReply(status), took_s=0.1) is None
 
 
 class TestPeers:
--- a/tests/components/catalog/test_follower.py
+++ b/tests/components/catalog/test_follower.py
@@ -6,7 +6,7 @@
 from fescuekeel.components.catalog.const import MAX_REMOVED
 from fescuekeel.components.catalog.follower import Follower, ListPage, WatchChanges
 from fescuekeel.components.catalog.items import ItemStore
-from fescuekeel.helpers.dialect import SourceReply, SourceStatus
+from fescuekeel.helpers.dialect import StoreReply, StoreStatus
 from fescuekeel.helpers.published import PublishedItem
 
 
@@ -15,7 +15,7 @@
 
 
 def page(*items, revision=10, more=False):
-    return SourceReply(SourceStatus.OK, items, revision, more)
+    return StoreReply(StoreStatus.OK, items, revision, more)
 
 
 class TestItemStore:
@@ -101,14 +101,14 @@
     def test_lost_history_leads_to_a_new_listing(self):
         follower = Follower(ItemStore())
         follower.handle_reply(page(revision=7))
-        follower.handle_reply(SourceReply(SourceStatus.HISTORY_LOST))
+        follower.handle_reply(StoreReply(StoreStatus.HISTORY_LOST))
         assert isinstance(follower.next_call(), ListPage)
 
     def test_rejected_calls_are_retried_with_backoff(self):
         follower = Follower(ItemStore())
         pauses = []
         for _ in range(6):
-            follower.handle_reply(SourceReply(SourceStatus.TURNED_AWAY))
+            follower.handle_reply(StoreReply(StoreStatus.REJECTED))
             pauses.append(follower.pause_s)
         assert pauses == sorted(pauses)
         assert pauses[-1] <= 1.0
--- a/tests/components/forward/test_accounts.py
+++ b/tests/components/forward/test_accounts.py
@@ -60,10 +60,10 @@
         assert find(digest=OTHER) is ErrorKind.UNAUTHENTICATED
         assert find(digest=b"") is ErrorKind.UNAUTHENTICATED
 
-    def test_open_route_requires_no_key(self):
-        assert find(digest=b"", open=True) is None
-        assert find(digest=OTHER, age_s=60.0, open=True) is None
-        assert find(open=True) is SHOP
+    def test_keyless_route_requires_no_key(self):
+        assert find(digest=b"", keyless=True) is None
+        assert find(digest=OTHER, age_s=60.0, keyless=True) is None
+        assert find(keyless=True) is SHOP
 
     def test_no_key_is_required_without_accounts(self):
         assert find(UNKEYED, b"", age_s=60.0) is None
--- a/tests/helpers/test_exchange.py
+++ b/tests/helpers/test_exchange.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from fescuekeel.helpers.exchange import (
-    AnswerBrokenError,
+from fescuekeel.helpers.http_connection import (
     ConnectionPool,
+    IncompleteResponseError,
     NotConnectedError,
     connect,
     fetch,
@@ -104,7 +104,7 @@
         async def work():
             async with Server(script) as server:
                 connection = await connect(server.address, 1.0)
-                with pytest.raises(AnswerBrokenError):
+                with pytest.raises(IncompleteResponseError):
                     await get(connection)
 
         run(work())
@@ -113,7 +113,7 @@
         async def work():
             async with Server([b""], [b""]) as server:
                 connection = await connect(server.address, 1.0)
-                with pytest.raises(AnswerBrokenError, match="timeout"):
+                with pytest.raises(IncompleteResponseError, match="timeout"):
                     await get(connection, timeout_s=0.1)
                 assert not connection.usable
 
@@ -159,7 +159,7 @@
                 pool = ConnectionPool(server.address)
                 connection = await pool.open(1.0)
                 await get(connection)
-                pool.give_back(connection, until=1000.0)
+                pool.release(connection, until=1000.0)
                 await asyncio.sleep(0.1)
                 assert pool.take(now=0.0) is None
 
@@ -171,7 +171,7 @@
                 pool = ConnectionPool(server.address)
                 connection = await pool.open(1.0)
                 await get(connection)
-                pool.give_back(connection, until=10.0)
+                pool.release(connection, until=10.0)
                 assert pool.take(now=10.0) is None
                 assert not connection.usable
 
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -13,10 +13,10 @@
 
 from fescuekeel.helpers.dialect import (
     AdapterVersion,
+    ForwardMetadata,
     OrderKind,
     OrderReply,
-    SendHead,
-    SourceStatus,
+    StoreStatus,
     WeightOrder,
 )
 from fescuekeel.helpers.published import (
@@ -104,15 +104,15 @@
 
 
 class TestCallers:
-    def read_caller(self, **headers):
-        return DIALECT.read_caller(
+    def read_request(self, **headers):
+        return DIALECT.read_request(
             HTTPHeaders(
                 {name.replace("_", "-"): text for name, text in headers.items()}
             )
         )
 
     def test_request_is_parsed(self):
-        head = self.read_caller(
+        head = self.read_request(
             Fescuekeel_Request_Id="9c41",
             Fescuekeel_Model="m/a7",
             Fescuekeel_Token_Count="1460,80",
@@ -139,17 +139,19 @@
         ],
     )
     def test_reserved_header_is_dropped(self, name):
-        head = self.read_caller(**{name: "x", "X-Other": "kept"})
+        head = self.read_request(**{name: "x", "X-Other": "kept"})
         assert head.headers == (("X-Other", "kept"),)
 
     def test_error_names_the_header_with_an_invalid_number(self):
         with pytest.raises(ValueError, match="Fescuekeel-Deadline-Ms"):
-            self.read_caller(Fescuekeel_Deadline_Ms="soon")
+            self.read_request(Fescuekeel_Deadline_Ms="soon")
 
     def test_headers_of_a_request_to_an_endpoint(self):
-        head = self.read_caller(Host="h", Last_Event_Id="3")
+        head = self.read_request(Host="h", Last_Event_Id="3")
         written = dict(
-            DIALECT.write_request(head, SendHead("e1", 1.5, 1, 4, resume_after="9"))
+            DIALECT.make_request_headers(
+                head, ForwardMetadata("e1", 1.5, 1, 4, resume_after="9")
+            )
         )
         assert written["Fescuekeel-Expect-Instance"] == "e1"
         assert written["Fescuekeel-Deadline-Ms"] == "1500"
@@ -169,15 +171,15 @@
         ],
     )
     def test_response_tells_whether_the_request_ran(self, status, headers, not_run):
-        assert DIALECT.read_answer(status, headers).not_run is not_run
+        assert DIALECT.read_response(status, headers).not_run is not_run
 
     def test_load_and_keep_alive_are_parsed(self):
         headers = {
             "fescuekeel-server-load": "3,1,8",
             "keep-alive": "timeout=5, max=100",
         }
-        answer = DIALECT.read_answer(200, headers)
-        assert (answer.running, answer.waiting, answer.idle_s) == (3, 1, 5.0)
+        answer = DIALECT.read_response(200, headers)
+        assert (answer.running, answer.waiting, answer.keep_alive_s) == (3, 1, 5.0)
 
     def test_order_is_encoded(self):
         order = WeightOrder(
@@ -234,7 +236,7 @@
             "has_more": True,
             "as_of": 9,
         }
-        reply = DIALECT.read_source_reply(200, json.dumps(body).encode())
+        reply = DIALECT.read_store_reply(200, json.dumps(body).encode())
         assert reply.items == (PublishedItem("k", 4, b"text"),)
         assert (reply.revision, reply.more) == (9, True)
 
@@ -244,7 +246,7 @@
         good = {"key": "k", "value": "dGV4dA==", "revision": 4}
         body = {"items": [{"key": "b", "value": value, "revision": 3}, good]}
         body |= {"has_more": False, "as_of": 9}
-        reply = DIALECT.read_source_reply(200, json.dumps(body).encode())
+        reply = DIALECT.read_store_reply(200, json.dumps(body).encode())
         assert reply.items == (
             PublishedItem("b", 3, b""),
             PublishedItem("k", 4, b"text"),
@@ -252,19 +254,19 @@
 
     def test_deletion_is_parsed(self):
         body = {"events": [{"key": "k", "revision": 4, "tombstone": True}], "as_of": 4}
-        reply = DIALECT.read_source_reply(200, json.dumps(body).encode())
+        reply = DIALECT.read_store_reply(200, json.dumps(body).encode())
         assert reply.items == (PublishedItem("k", 4, None),)
 
     @pytest.mark.parametrize(
         ("status", "expected"),
         [
-            (410, SourceStatus.HISTORY_LOST),
-            (429, SourceStatus.TURNED_AWAY),
-            (503, SourceStatus.TURNED_AWAY),
+            (410, StoreStatus.HISTORY_LOST),
+            (429, StoreStatus.REJECTED),
+            (503, StoreStatus.REJECTED),
         ],
     )
     def test_store_errors_are_distinguished(self, status, expected):
-        assert DIALECT.read_source_reply(status, b"").status is expected
+        assert DIALECT.read_store_reply(status, b"").status is expected
 
     def test_configuration_is_decoded(self):
         decoded = DIALECT.decode(publish("op/config", CONFIGURATION))
@@ -274,7 +276,7 @@
         assert route.host == "shop.example"
         assert (route.timeout_s, route.target_s, route.gap_target_s) == (15, 0.8, 0.25)
         assert [target.service for target in route.targets] == ["s", "t"]
-        assert decoded.services_by_name["s"].engine.adapter_places == 20
+        assert decoded.services_by_name["s"].engine.max_loaded_adapters == 20
 
     @pytest.mark.parametrize(
         ("change", "message"),
