--- a/bench/capacity/decisions.py
+++ b/bench/capacity/decisions.py
@@ -22,7 +22,12 @@
 from fescuekeel.components.livelist.parse import parse_live_list
 from fescuekeel.components.membership.const import PROBE_PERIOD_S, TICK_S
 from fescuekeel.components.membership.decision import Membership
-from fescuekeel.components.membership.events import Pinged, Probe, ProbeAnswered, Tick
+from fescuekeel.components.membership.events import (
+    PingReceived,
+    Probe,
+    ProbeAnswered,
+    Tick,
+)
 from fescuekeel.components.owner.placement import Placement
 from fescuekeel.components.turns.decision import TurnTable
 from fescuekeel.helpers.wire import decode, encode
@@ -35,7 +40,7 @@
     NewsKind,
     PeerMessage,
     Ping,
-    TreeHeld,
+    TreeStored,
     TurnAsk,
     WireMessage,
 )
@@ -107,10 +112,10 @@
                     sizes.append(len(frame) + FRAME_BYTES + PACKET_BYTES)
                     decode(frame)
                     membership.handle(ProbeAnswered(effect.target, effect.news), now)
-        question = PeerMessage("instance-0001", 1, Ping())
-        membership.handle(Pinged(question, ()), start)
+        request = PeerMessage("instance-0001", 1, Ping())
+        membership.handle(PingReceived(request, ()), start)
 
-    membership.handle(TreeHeld(7, "0" * 64), 0.0)
+    membership.handle(TreeStored(7, "0" * 64), 0.0)
     membership.handle(live, 0.0)
     periods = round(SIMULATED_S / PROBE_PERIOD_S)
     core = time_call(pass_time, periods) / PROBE_PERIOD_S
--- a/bench/capacity/estimate.py
+++ b/bench/capacity/estimate.py
@@ -6,7 +6,7 @@
 from bench.capacity import const as size
 from bench.capacity.decisions import make_claim, news_bytes, wire_bytes
 from bench.capacity.measure import Measured
-from fescuekeel.components.keys.const import HOMES, MAX_CLAIMS
+from fescuekeel.components.keys.const import HOMES_PER_KEY, MAX_CLAIMS
 from fescuekeel.components.livelist.const import MAX_LIST_BYTES, POLL_S
 from fescuekeel.components.membership.const import (
     MAX_MEMBERS,
@@ -23,7 +23,7 @@
     WATCH_S,
     WATCHERS_PER_DATA_CENTRE,
 )
-from fescuekeel.components.turns.const import HOLD_S
+from fescuekeel.components.turns.const import ASK_HOLD_S
 from fescuekeel.errors import Ran
 from fescuekeel.messages import (
     AdapterRef,
@@ -184,12 +184,12 @@
 
 def make_keys(found: Measured) -> Row:
     """Work out the claims that a home holds."""
-    claims_per_s = size.REQUESTS_PER_S * size.KEYED_SHARE * HOMES / size.NODES
+    claims_per_s = size.REQUESTS_PER_S * size.KEYED_SHARE * HOMES_PER_KEY / size.NODES
     held = claims_per_s * KEY_LIFETIME_S
     claim = make_claim(1)
     settle = KeySettle(claim.key, claim.request_id, Ran.YES.value)
     exchange = wire_bytes(claim, KeyAnswer(True), settle)
-    most = MAX_CLAIMS / KEY_LIFETIME_S * size.NODES / HOMES
+    most = MAX_CLAIMS / KEY_LIFETIME_S * size.NODES / HOMES_PER_KEY
     return Row(
         "key home",
         f"{held:,.0f} claims of {found.claim_bytes:.0f} B"
@@ -198,7 +198,7 @@
         2 * claims_per_s * found.claim_s,
         held * found.claim_bytes / size.MB,
         2 * claims_per_s * exchange,
-        f"{HOMES} homes by hashing, a majority grants (keys)",
+        f"{HOMES_PER_KEY} homes by hashing, a majority grants (keys)",
         f"{most:,.0f} keyed requests a second in all, at {MAX_CLAIMS:,} claims a home",
     )
 
@@ -215,7 +215,7 @@
 
 def make_turns(found: Measured) -> Row:
     """Work out the leader when every endpoint waits for a turn."""
-    worst = size.WORKERS / HOLD_S
+    worst = size.WORKERS / ASK_HOLD_S
     loads = loads_per_s()
     asks = min(worst, 2 * loads)
     exchange = wire_bytes(TURN_ASK, TURN_ANSWER, TURN_DONE)
--- a/bench/policy/simulation.py
+++ b/bench/policy/simulation.py
@@ -30,7 +30,7 @@
 from fescuekeel.components.gateway import routing
 from fescuekeel.components.owner.scheduling import model
 from fescuekeel.errors import ErrorKind
-from fescuekeel.helpers.homes import find_other, rank_alive
+from fescuekeel.helpers.endpoint_ranking import find_alternate, rank_reachable_endpoints
 from fescuekeel.messages import AdapterRef, TurnAsk
 
 __all__ = ["play"]
@@ -197,10 +197,10 @@
 
     def _find_other(self, host: Host, adapter: AdapterRef) -> Host | None:
         router = self._make_router(host.entry.data_centre)
-        ranked = rank_alive(
+        ranked = rank_reachable_endpoints(
             "engines", adapter, router.endpoints_by_id, router.members_by_id
         )
-        other = find_other(host.entry.id, ranked)
+        other = find_alternate(host.entry.id, ranked)
         return None if other is None else self._hosts_by_id[other]
 
     def _look_there(self, attempt: Attempt, other: Host) -> None:
--- a/bench/policy/turns.py
+++ b/bench/policy/turns.py
@@ -34,8 +34,8 @@
     def ask(self, host: Host, ask: TurnAsk, number: int) -> None:
         """Ask the leader for a turn; number zero only changes the value."""
         table = self._get_table(host)
-        question = PeerMessage(host.entry.id, number, ask)
-        self._answer(table.ask(question, self._clock.now))
+        request = PeerMessage(host.entry.id, number, ask)
+        self._answer(table.ask(request, self._clock.now))
 
     def tick(self) -> None:
         """Let time pass at the leaders."""
@@ -54,7 +54,7 @@
 
     def _answer(self, replies: list[TurnReply]) -> None:
         for reply in replies:
-            host = self._hosts_by_id[reply.question.sender]
+            host = self._hosts_by_id[reply.request.sender]
             if reply.answer.granted:
                 host.ask = None
                 event = model.TurnGranted(reply.answer.adapter)
--- a/fescuekeel/components/catalog/component.py
+++ b/fescuekeel/components/catalog/component.py
@@ -15,10 +15,10 @@
     COMPRESS_BYTES,
     CONNECT_TIMEOUT_S,
     DOMAIN,
-    DUTY_POLL_S,
     NEWS_PERIOD_S,
     OTHER_NEWS_FANOUT,
     WATCHER_NEWS_FANOUT,
+    WATCHER_POLL_S,
 )
 from fescuekeel.components.catalog.follower import Follower, ListPage, WatchChanges
 from fescuekeel.components.catalog.items import ItemStore
@@ -108,7 +108,7 @@
             await asyncio.sleep(self._follower.pause_s)
             self._update_watching()
             if not self._watching:
-                await sleep_to_tick(DUTY_POLL_S)
+                await sleep_to_tick(WATCHER_POLL_S)
                 continue
             call = self._follower.next_call()
             before = self._follower.unavailable
--- a/fescuekeel/components/catalog/const.py
+++ b/fescuekeel/components/catalog/const.py
@@ -36,7 +36,7 @@
 # Two news periods and some delay.
 WATCHER_TIMEOUT_S: Final = 1.2
 # How often an instance that does not watch checks whether it has to.
-DUTY_POLL_S: Final = 0.25
+WATCHER_POLL_S: Final = 0.25
 # Longer values are compressed on the wire: a configuration may be large, and a
 # watcher sends it to every neighbour.
 COMPRESS_BYTES: Final = 1024
--- a/fescuekeel/components/forward/caller.py
+++ b/fescuekeel/components/forward/caller.py
@@ -91,15 +91,15 @@
 
     async def refuse(self, failure: Failure, headers: Sequence[Header]) -> None:
         """Answer with an error generated here."""
-        answer = failure.answer
-        text = f"{answer.text}\n".encode()
+        response = failure.response
+        text = f"{response.text}\n".encode()
         own = [
             *headers,
             ("Content-Type", "text/plain"),
             ("Content-Length", str(len(text))),
         ]
-        if answer.retry:
+        if response.retry:
             wait_s = failure.retry_after_s or DEFAULT_RETRY_AFTER_S
             own.append((HEADER_RETRY_AFTER, f"{wait_s:.2f}"))
-        await self.begin(answer.status, HTTPStatus(answer.status).phrase, own, text)
+        await self.begin(response.status, HTTPStatus(response.status).phrase, own, text)
         await self.finish()
--- a/fescuekeel/components/forward/reachability.py
+++ b/fescuekeel/components/forward/reachability.py
@@ -64,11 +64,11 @@
     def _update_contacts(self) -> None:
         """Record messages of peers as contact with their data centres."""
         view = self._instance.bus.latest(MemberView) or MemberView()
-        heard_by_id = get_peer_link(self._instance).heard_by_id
-        for id, heard in heard_by_id.items():
+        last_received_by_id = get_peer_link(self._instance).last_received_by_id
+        for id, received_at in last_received_by_id.items():
             member = view.members_by_id.get(id)
             if member is not None:
-                self._isolation.note_reached(member.data_centre, heard)
+                self._isolation.note_reached(member.data_centre, received_at)
 
     def fail_over_unresponsive(self, requests: Collection[ForwardedRequest]) -> None:
         """Fail over repeatable requests from unresponsive endpoints."""
--- a/fescuekeel/components/gateway/border.py
+++ b/fescuekeel/components/gateway/border.py
@@ -119,7 +119,7 @@
     detail = ErrorDetail(
         kind=failure.kind.value,
         ran=failure.outcome.value,
-        message=failure.detail or failure.answer.text,
+        message=failure.detail or failure.response.text,
         retry_after_s=failure.retry_after_s or None,
     )
     return ErrorBody(error=detail).model_dump_json(exclude_none=True).encode()
--- a/fescuekeel/components/gateway/component.py
+++ b/fescuekeel/components/gateway/component.py
@@ -22,7 +22,7 @@
 from fescuekeel.messages import (
     EntryOpenWork,
     MemberView,
-    PeerLost,
+    PeerConnectionLost,
     PeerMessage,
     RunningWork,
     StartAnswer,
@@ -57,7 +57,9 @@
         bus = self.instance.bus
         for kind in (StartAsk, WorkStarted, WorkChunk, WorkEnd):
             bus.subscribe_peer(kind, self._post_message)
-        bus.subscribe(PeerLost, lambda lost: self._lose_owner(lost.instance_id))
+        bus.subscribe(
+            PeerConnectionLost, lambda lost: self._lose_owner(lost.instance_id)
+        )
         bus.subscribe(MemberView, self._note_members)
         bus.publish_state(EntryOpenWork(self._list_open_work))
         self.server.start()
--- a/fescuekeel/components/gateway/ranks.py
+++ b/fescuekeel/components/gateway/ranks.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from fescuekeel.components.gateway.routing import rank_alive
+from fescuekeel.components.gateway.routing import rank_reachable_endpoints
 from fescuekeel.messages import AdapterRef, LiveEntry, Member
 
 __all__ = ["Ranks"]
@@ -42,7 +42,7 @@
         endpoints_by_id: Endpoints,
         members_by_id: Members,
     ) -> Sequence[str]:
-        """Return the endpoints as ``rank_alive`` does."""
+        """Return the endpoints as ``rank_reachable_endpoints`` does."""
         self._take_view(endpoints_by_id, members_by_id)
         key = RankKey(pool, adapter)
         ranked = self._ranked_by_key.get(key)
@@ -50,7 +50,7 @@
             return ranked
         if len(self._ranked_by_key) >= MAX_RANKED:
             del self._ranked_by_key[next(iter(self._ranked_by_key))]
-        ranked = rank_alive(pool, adapter, endpoints_by_id, members_by_id)
+        ranked = rank_reachable_endpoints(pool, adapter, endpoints_by_id, members_by_id)
         self._ranked_by_key[key] = ranked
         return ranked
 
--- a/fescuekeel/components/gateway/routing.py
+++ b/fescuekeel/components/gateway/routing.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from fescuekeel.helpers.homes import (
-    rank_alive,
+from fescuekeel.helpers.endpoint_ranking import (
+    put_unreachable_last,
     rank_endpoints,
-    rank_live_endpoints,
+    rank_reachable_endpoints,
 )
 from fescuekeel.helpers.owners import choose_owner
 from fescuekeel.messages import AdapterRef, LiveEntry, Member
@@ -22,9 +22,9 @@
     "Hints",
     "RouteReason",
     "choose",
-    "rank_alive",
+    "put_unreachable_last",
     "rank_endpoints",
-    "rank_live_endpoints",
+    "rank_reachable_endpoints",
 ]
 
 Rank = Callable[
@@ -175,7 +175,7 @@
     now: float,
     load_s: float = 0.5,
     tried: Collection[str] = (),
-    rank: Rank = rank_alive,
+    rank: Rank = rank_reachable_endpoints,
 ) -> Choice | None:
     """Return where a request goes next, or ``None`` when nothing is left.
 
@@ -188,7 +188,7 @@
     else:
         # Each request has an order of its own, which nothing can remember.
         key = AdapterRef(request_id)
-        ranked = rank_alive(pool, key, endpoints_by_id, members_by_id)
+        ranked = rank_reachable_endpoints(pool, key, endpoints_by_id, members_by_id)
     candidates = [id for id in ranked if id not in tried]
     if not candidates:
         return None
--- a/fescuekeel/components/gateway/sink.py
+++ b/fescuekeel/components/gateway/sink.py
@@ -84,7 +84,7 @@
         if self._begun:
             self._handler.write(b"data: " + body + b"\n\n")
             return await self._end()
-        self._handler.set_status(failure.answer.status)
+        self._handler.set_status(failure.response.status)
         self._handler.set_header("Content-Type", JSON_CONTENT_TYPE)
         self._handler.set_header(HEADER_RAN, failure.outcome.value)
         if failure.retry_after_s > 0:
--- a/fescuekeel/components/keys/const.py
+++ b/fescuekeel/components/keys/const.py
@@ -5,7 +5,7 @@
 DOMAIN: Final = "keys"
 
 # Number of homes, that is replicas, of a key.
-HOMES: Final = 3
+HOMES_PER_KEY: Final = 3
 DEFAULT_LIFETIME_S: Final = 600.0
 # A claim that is never settled starts its lifetime after this. Requests are
 # shorter, and no instance acts on its own claim past CLAIM_MAX_AGE_S.
--- a/fescuekeel/components/keys/homes.py
+++ b/fescuekeel/components/keys/homes.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from fescuekeel.components.keys.const import HOMES
+from fescuekeel.components.keys.const import HOMES_PER_KEY
 from fescuekeel.util.rendezvous import rank
 
 __all__ = ["choose_homes", "count_majority"]
@@ -21,9 +21,11 @@
     first_by_data_centre: dict[str, str] = {}
     for id in ranked:
         first_by_data_centre.setdefault(data_centres_by_id[id], id)
-    one_per_data_centre = list(first_by_data_centre.values())[:HOMES]
+    one_per_data_centre = list(first_by_data_centre.values())[:HOMES_PER_KEY]
     rest = [id for id in ranked if id not in one_per_data_centre]
-    return tuple(sorted(one_per_data_centre + rest[: HOMES - len(one_per_data_centre)]))
+    return tuple(
+        sorted(one_per_data_centre + rest[: HOMES_PER_KEY - len(one_per_data_centre)])
+    )
 
 
 def count_majority(homes: int) -> int:
--- a/fescuekeel/components/membership/component.py
+++ b/fescuekeel/components/membership/component.py
@@ -18,7 +18,7 @@
     IndirectProbe,
     IndirectProbeDone,
     Leave,
-    Pinged,
+    PingReceived,
     Probe,
     ProbeAnswered,
     ProbeFailed,
@@ -37,14 +37,14 @@
     LiveList,
     Member,
     MemberView,
-    PeerLost,
+    PeerAuthenticated,
+    PeerConnectionLost,
     PeerMessage,
-    PeerMet,
     Ping,
     PingAnswer,
     ProbeAnswer,
     ProbeAsk,
-    TreeHeld,
+    TreeStored,
 )
 
 __all__ = ["MembershipActor"]
@@ -71,12 +71,18 @@
         )
         self._decision = Membership(own, self._random)
         bus = self.instance.bus
-        for kind in (LiveList, PeerMet, PeerLost, EndpointLeaving, TreeHeld):
+        for kind in (
+            LiveList,
+            PeerAuthenticated,
+            PeerConnectionLost,
+            EndpointLeaving,
+            TreeStored,
+        ):
             bus.subscribe(kind, self.post)
         bus.subscribe_peer(Ping, self.post)
         bus.subscribe_peer(ProbeAsk, self.post)
         self._decide(bus.latest(LiveList) or LiveList())
-        held = bus.latest(TreeHeld)
+        held = bus.latest(TreeStored)
         if held is not None:
             self._decide(held)
         await super().start()
@@ -101,7 +107,7 @@
         if not isinstance(message, PeerMessage):
             self._decide(message)
         elif isinstance(message.body, Ping):
-            self._decide(Pinged(message, message.body.news))
+            self._decide(PingReceived(message, message.body.news))
         else:
             self.instance.spawn(self._probe_for_peer(message), f"{DOMAIN}.help")
 
--- a/fescuekeel/components/membership/decision.py
+++ b/fescuekeel/components/membership/decision.py
@@ -27,7 +27,7 @@
     IndirectProbe,
     IndirectProbeDone,
     Leave,
-    Pinged,
+    PingReceived,
     Probe,
     ProbeAnswered,
     ProbeFailed,
@@ -47,10 +47,10 @@
     MemberView,
     News,
     NewsKind,
-    PeerLost,
-    PeerMet,
-    TreeHeard,
-    TreeHeld,
+    PeerAuthenticated,
+    PeerConnectionLost,
+    TreeAnnounced,
+    TreeStored,
 )
 from fescuekeel.util.ring import list_contacts
 
@@ -88,16 +88,16 @@
         self._effects: list[Effect] = []
         self._handlers_by_type: dict[type, Callable[[Any, float], None]] = {
             Tick: self._handle_tick,
-            Pinged: self._handle_ping,
+            PingReceived: self._handle_ping,
             ProbeAnswered: self._handle_probe_answered,
             ProbeFailed: self._handle_probe_failed,
             IndirectProbeDone: self._handle_indirect_done,
             Leave: self._handle_leave,
             LiveList: self._members.merge_live_list,
-            PeerMet: self._members.merge_peer,
-            PeerLost: self._handle_peer_lost,
+            PeerAuthenticated: self._members.merge_peer,
+            PeerConnectionLost: self._handle_peer_lost,
             EndpointLeaving: self._members.mark_leaving,
-            TreeHeld: self._handle_tree_held,
+            TreeStored: self._handle_tree_held,
         }
 
     def handle(self, event: Event, now: float) -> list[Effect]:
@@ -215,7 +215,7 @@
         if record is not None:
             self._suspect(record, now)
 
-    def _handle_peer_lost(self, event: PeerLost, now: float) -> None:
+    def _handle_peer_lost(self, event: PeerConnectionLost, now: float) -> None:
         record = self._members.records_by_id.get(event.instance_id)
         if event.reachable or record is None or not record.is_member:
             return
@@ -229,7 +229,7 @@
 
     # Gossip.
 
-    def _handle_ping(self, event: Pinged, now: float) -> None:
+    def _handle_ping(self, event: PingReceived, now: float) -> None:
         sender = event.request.sender
         self._apply_news(event.news, sender, now)
         if event.request.number:
@@ -275,7 +275,7 @@
         # than fits one message, or few known peers, one push is not enough.
         self._members.push_pending = self._members.has_news_to_push
 
-    def _handle_tree_held(self, held: TreeHeld, now: float) -> None:
+    def _handle_tree_held(self, held: TreeStored, now: float) -> None:
         if held.revision > self._members.tree_revision:
             self._members.held_tree = held
             self._members.push_pending = True
@@ -286,7 +286,7 @@
         again = now - published_at >= TREE_REPUBLISH_PERIOD_S
         if item.incarnation > held and (item.incarnation > published or again):
             self._published_tree = (item.incarnation, now)
-            tree = TreeHeard(item.incarnation, item.subject, sender)
+            tree = TreeAnnounced(item.incarnation, item.subject, sender)
             self._effects.append(PublishTree(tree))
 
     def _handle_leave(self, event: Leave, now: float) -> None:
--- a/fescuekeel/components/membership/events.py
+++ b/fescuekeel/components/membership/events.py
@@ -7,11 +7,11 @@
     LiveList,
     MemberView,
     News,
-    PeerLost,
+    PeerAuthenticated,
+    PeerConnectionLost,
     PeerMessage,
-    PeerMet,
-    TreeHeard,
-    TreeHeld,
+    TreeAnnounced,
+    TreeStored,
 )
 
 __all__ = [
@@ -21,7 +21,7 @@
     "IndirectProbe",
     "IndirectProbeDone",
     "Leave",
-    "Pinged",
+    "PingReceived",
     "Probe",
     "ProbeAnswered",
     "ProbeFailed",
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pinged:
+class PingReceived:
     """A peer sent a ping, or only its news without expecting an answer."""
 
     request: PeerMessage
@@ -80,16 +80,16 @@
 
 Event = (
     Tick
-    | Pinged
+    | PingReceived
     | ProbeAnswered
     | ProbeFailed
     | IndirectProbeDone
     | Leave
     | LiveList
-    | PeerMet
-    | PeerLost
+    | PeerAuthenticated
+    | PeerConnectionLost
     | EndpointLeaving
-    | TreeHeld
+    | TreeStored
 )
 
 
@@ -141,7 +141,7 @@
 class PublishTree:
     """Publish that a peer holds a higher revision of the tree."""
 
-    tree: TreeHeard
+    tree: TreeAnnounced
 
 
 Effect = Probe | SendNews | AnswerPing | IndirectProbe | PublishView | PublishTree
--- a/fescuekeel/components/membership/member_table.py
+++ b/fescuekeel/components/membership/member_table.py
@@ -27,8 +27,8 @@
     MemberView,
     News,
     NewsKind,
-    PeerMet,
-    TreeHeld,
+    PeerAuthenticated,
+    TreeStored,
 )
 
 __all__ = ["MemberTable"]
@@ -42,7 +42,9 @@
     resets each flag once it has acted on it.
 
     >>> table = MemberTable(Member("i1", "127.0.0.1:1", "dc1", 1))
-    >>> table.merge_peer(PeerMet("i2", "127.0.0.1:2", "dc1", 1), now=0.0)
+    >>> table.merge_peer(
+    ...     PeerAuthenticated("i2", "127.0.0.1:2", "dc1", 1), now=0.0
+    ... )
     >>> table.list_others(), table.push_pending
     ({'i2'}, True)
     """
@@ -57,7 +59,7 @@
             0.0,
         )
         self.records_by_id = {own.id: self.own}
-        self.held_tree: TreeHeld | None = None
+        self.held_tree: TreeStored | None = None
         self.changed = True
         self.push_pending = False
         self._news_queue = NewsQueue()
@@ -147,7 +149,7 @@
 
     # Sources other than gossip.
 
-    def merge_peer(self, peer: PeerMet, now: float) -> None:
+    def merge_peer(self, peer: PeerAuthenticated, now: float) -> None:
         """Merge the identity that a peer has proved on a new connection."""
         if peer.instance_id != self.own.id and peer.address:
             item = News(
--- a/fescuekeel/components/operators/server.py
+++ b/fescuekeel/components/operators/server.py
@@ -50,8 +50,8 @@
 
     def fail(self, failure: Failure) -> None:
         """Answer with a failure of the closed list."""
-        self.set_status(failure.answer.status)
-        text = failure.detail or failure.answer.text
+        self.set_status(failure.response.status)
+        text = failure.detail or failure.response.text
         self.finish({"error": {"kind": failure.kind.value, "text": text}})
 
     def answer(self, result: Result[View, Failure]) -> None:
--- a/fescuekeel/components/operators/views.py
+++ b/fescuekeel/components/operators/views.py
@@ -6,8 +6,8 @@
 from returns.result import Failure as Err, Result, Success
 
 from fescuekeel.components.gateway.routing import (
+    put_unreachable_last,
     rank_endpoints,
-    rank_live_endpoints,
 )
 from fescuekeel.components.operators.const import PERCENTILES
 from fescuekeel.components.tree.model import Policy, TreeInForce
@@ -18,7 +18,7 @@
     LiveList,
     MemberView,
     OwnedEndpoints,
-    TreeHeld,
+    TreeStored,
 )
 
 __all__ = ["explain", "show_counters", "show_status", "show_tree"]
@@ -32,7 +32,7 @@
     bus = instance.bus
     here = instance.settings.instance
     view = bus.latest(MemberView) or MemberView()
-    held = bus.latest(TreeHeld)
+    held = bus.latest(TreeStored)
     owned = bus.latest(OwnedEndpoints)
     endpoints = {
         id: {
@@ -98,7 +98,7 @@
     in_force = instance.bus.latest(TreeInForce)
     if in_force is None:
         return Err(Failure(ErrorKind.TREE_NOT_READY))
-    held = instance.bus.latest(TreeHeld)
+    held = instance.bus.latest(TreeStored)
     view: View = {
         "revision": in_force.intent.revision,
         "digest": held.digest if held else "",
@@ -125,7 +125,7 @@
     view = instance.bus.latest(MemberView) or MemberView()
     endpoints = view.endpoints_by_id
     ranked = rank_endpoints(policy.pool.name, policy.adapter, endpoints)
-    live = rank_live_endpoints(ranked, endpoints, view.members_by_id)
+    live = put_unreachable_last(ranked, endpoints, view.members_by_id)
     candidates = [
         {
             "endpoint": id,
--- a/fescuekeel/components/owner/arrivals.py
+++ b/fescuekeel/components/owner/arrivals.py
@@ -12,7 +12,7 @@
 from fescuekeel.components.owner.scheduling.decision import EndpointScheduler
 from fescuekeel.core import Instance
 from fescuekeel.errors import ErrorKind
-from fescuekeel.helpers.homes import find_other, rank_alive
+from fescuekeel.helpers.endpoint_ranking import find_alternate, rank_reachable_endpoints
 from fescuekeel.helpers.owners import choose_owner
 from fescuekeel.helpers.peer_link import PeerLink
 from fescuekeel.messages import AdapterRef, CopyAnswer, CopyAsk, MemberView
@@ -134,8 +134,10 @@
         if view is None:
             return None
         endpoints, members = view.endpoints_by_id, view.members_by_id
-        ranked = rank_alive(self.host.placed.pool.name, adapter, endpoints, members)
-        other = find_other(self.host.endpoint, ranked)
+        ranked = rank_reachable_endpoints(
+            self.host.placed.pool.name, adapter, endpoints, members
+        )
+        other = find_alternate(self.host.endpoint, ranked)
         if other is None:
             return None
         owner = choose_owner(endpoints[other], members.values())
--- a/fescuekeel/components/owner/component.py
+++ b/fescuekeel/components/owner/component.py
@@ -28,7 +28,7 @@
     HandoverOffer,
     MemberView,
     OwnedEndpoints,
-    PeerLost,
+    PeerConnectionLost,
     PeerMessage,
     RunningAnswer,
     RunningAsk,
@@ -62,7 +62,7 @@
         bus.subscribe_peer(RunningAsk, self._answer_running)
         bus.subscribe_peer(HandoverOffer, self._take_offer)
         bus.subscribe_peer(CopyAsk, self._answer_copy)
-        bus.subscribe(PeerLost, self._lose_peer)
+        bus.subscribe(PeerConnectionLost, self._lose_peer)
         bus.subscribe(MemberView, self._note_view)
         self._note_view(bus.latest(MemberView) or MemberView())
         self._tasks = [
@@ -241,7 +241,7 @@
         answer = HandoverAnswer(offer.endpoint, accepted)
         get_peer_link(self.instance).answer(message, answer)
 
-    def _lose_peer(self, lost: PeerLost) -> None:
+    def _lose_peer(self, lost: PeerConnectionLost) -> None:
         if not lost.reachable:
             self._lose_entry(lost.instance_id)
             return
--- a/fescuekeel/components/owner/requests.py
+++ b/fescuekeel/components/owner/requests.py
@@ -167,7 +167,7 @@
             return
         self.instance.metrics.count(f"owner.refused.{kind}")
         failure = Failure(kind, ran=Ran.NO, retry_after_s=retry_s)
-        end = make_end(item, Outcome(failure, failure.answer.status), Waits())
+        end = make_end(item, Outcome(failure, failure.response.status), Waits())
         self.host.link.send(item.entry, end)
 
     def refuse_queued(self, kind: ErrorKind, entry: str = "") -> None:
--- a/fescuekeel/components/peers/addresses.py
+++ b/fescuekeel/components/peers/addresses.py
@@ -2,7 +2,7 @@
 
 from fescuekeel.components.peers.const import MAX_ADDRESSES
 from fescuekeel.core import Instance
-from fescuekeel.messages import LiveList, LiveRole, MemberView, PeerMet
+from fescuekeel.messages import LiveList, LiveRole, MemberView, PeerAuthenticated
 
 __all__ = ["Addresses"]
 
@@ -23,7 +23,7 @@
         """Return whether no peer has authenticated yet."""
         return not self._authenticated_by_id
 
-    def add(self, peer: PeerMet) -> None:
+    def add(self, peer: PeerAuthenticated) -> None:
         """Store an authenticated peer's address and publish the event.
 
         The oldest entry is evicted beyond ``MAX_ADDRESSES``.
--- a/fescuekeel/components/peers/link.py
+++ b/fescuekeel/components/peers/link.py
@@ -35,9 +35,9 @@
     Hello,
     HelloAnswer,
     MemberView,
-    PeerLost,
+    PeerAuthenticated,
+    PeerConnectionLost,
     PeerMessage,
-    PeerMet,
     WireMessage,
 )
 
@@ -76,7 +76,7 @@
         self._last_received_by_id: dict[str, float] = {}
 
     @property
-    def heard_by_id(self) -> Mapping[str, float]:
+    def last_received_by_id(self) -> Mapping[str, float]:
         """Return when the last message of each peer arrived.
 
         Times are in seconds of the instance's clock.
@@ -162,9 +162,9 @@
             timer.cancel()
             pending_by_number.pop(number, None)
 
-    def answer(self, question: PeerMessage, body: WireMessage) -> None:
+    def answer(self, request: PeerMessage, body: WireMessage) -> None:
         """Answer a peer's request; only the first answer is sent."""
-        origin = self._incoming_requests.pop(question.number)
+        origin = self._incoming_requests.pop(request.number)
         if origin is None:
             return
         connection, number = origin
@@ -244,7 +244,9 @@
         channel.attach(connection)
         self._record_peer(answer, address)
         if channel.is_replacement:
-            self._instance.bus.publish(PeerLost(channel.peer_id, reachable=True))
+            self._instance.bus.publish(
+                PeerConnectionLost(channel.peer_id, reachable=True)
+            )
         connection.set_callbacks(
             lambda payload: self._handle_answer(channel, payload),
             lambda failure: self._drop_channel(channel, failure.detail),
@@ -283,7 +285,7 @@
         self._retry_at_by_id[peer_id] = now + RETRY_S
         loop = asyncio.get_running_loop()
         loop.call_later(RETRY_S * 2, self._retry_at_by_id.pop, peer_id, None)
-        self._instance.bus.publish(PeerLost(peer_id, reachable=False))
+        self._instance.bus.publish(PeerConnectionLost(peer_id, reachable=False))
 
     async def _monitor_connections(self) -> None:
         last = self._instance.now()
@@ -354,13 +356,15 @@
 
     def _record_peer(self, answer: HelloAnswer, address: str) -> None:
         self._addresses.add(
-            PeerMet(answer.instance, address, answer.data_centre, answer.incarnation)
+            PeerAuthenticated(
+                answer.instance, address, answer.data_centre, answer.incarnation
+            )
         )
 
     # The accepting side.
 
     def _accept_hello(self, hello: Hello) -> HelloAnswer:
-        peer = PeerMet(
+        peer = PeerAuthenticated(
             hello.instance, hello.address, hello.data_centre, hello.incarnation
         )
         self._addresses.add(peer)
@@ -385,7 +389,9 @@
         # Answers in flight are lost with this connection. The outgoing one
         # may stay open, so the loss would otherwise go unnoticed.
         if connection.peer_id in self._channels_by_id:
-            self._instance.bus.publish(PeerLost(connection.peer_id, reachable=True))
+            self._instance.bus.publish(
+                PeerConnectionLost(connection.peer_id, reachable=True)
+            )
             return
         # The peer may have died: check whether it still accepts connections.
         self._get_channel(connection.peer_id, is_replacement=True)
--- a/fescuekeel/components/placement/publisher.py
+++ b/fescuekeel/components/placement/publisher.py
@@ -14,7 +14,12 @@
 from fescuekeel.core import Instance
 from fescuekeel.helpers.peer_link import get_peer_link
 from fescuekeel.helpers.placement_view import PlacementView
-from fescuekeel.messages import MemberView, PeerLost, PlacementNews, PlacementState
+from fescuekeel.messages import (
+    MemberView,
+    PeerConnectionLost,
+    PlacementNews,
+    PlacementState,
+)
 
 __all__ = ["UpdatePublisher", "sends_to_all"]
 
@@ -57,7 +62,7 @@
 
     def start(self) -> None:
         """Subscribe to lost connections."""
-        self._instance.bus.subscribe(PeerLost, self._note_peer_lost)
+        self._instance.bus.subscribe(PeerConnectionLost, self._note_peer_lost)
 
     def forget(self, endpoint: str) -> None:
         """Forget an endpoint that is no longer held."""
@@ -165,7 +170,7 @@
         if states:
             get_peer_link(self._instance).send_all(newcomers, PlacementNews(states))
 
-    def _note_peer_lost(self, lost: PeerLost) -> None:
+    def _note_peer_lost(self, lost: PeerConnectionLost) -> None:
         self._sent_incarnations.pop(lost.instance_id, None)
         self._last_view = None
 
--- a/fescuekeel/components/tree/component.py
+++ b/fescuekeel/components/tree/component.py
@@ -33,10 +33,10 @@
     LiveList,
     MemberView,
     PeerMessage,
+    TreeAnnounced,
     TreeAsk,
-    TreeHeard,
-    TreeHeld,
     TreePart,
+    TreeStored,
 )
 
 __all__ = ["TreeFollower"]
@@ -62,7 +62,7 @@
         """Listen to the others and begin to read."""
         bus = self.instance.bus
         bus.subscribe(MemberView, self._post_members)
-        bus.subscribe(TreeHeard, self._post_heard)
+        bus.subscribe(TreeAnnounced, self._post_heard)
         bus.subscribe_peer(TreeAsk, self._answer)
         await self._reader.start()
         await super().start()
@@ -124,7 +124,7 @@
         listed = self.instance.bus.latest(LiveList) is not None
         self.post(MembersSeen(data_centres_by_id, listed))
 
-    def _post_heard(self, heard: TreeHeard) -> None:
+    def _post_heard(self, heard: TreeAnnounced) -> None:
         self.post(Heard(heard.revision, heard.digest, heard.holder))
 
     def _post_manifest(self, content: bytes) -> None:
@@ -172,7 +172,7 @@
         log_event("tree_in_force", revision=manifest.revision, digest=manifest.digest)
         self.instance.metrics.count("tree.in_force")
         self.instance.bus.publish_state(TreeInForce(snapshot.intent))
-        self.instance.bus.publish_state(TreeHeld(manifest.revision, manifest.digest))
+        self.instance.bus.publish_state(TreeStored(manifest.revision, manifest.digest))
 
     def _answer(self, message: PeerMessage) -> None:
         assert isinstance(message.body, TreeAsk)
--- a/fescuekeel/components/turns/const.py
+++ b/fescuekeel/components/turns/const.py
@@ -7,7 +7,7 @@
 
 # The leader holds an ask open for this long, so that a grant needs no further
 # round trip. Must be below ANSWER_TIMEOUT_S.
-HOLD_S: Final = 0.6
+ASK_HOLD_S: Final = 0.6
 ANSWER_TIMEOUT_S: Final = 1.0
 # An instance that did not answer is not chosen as leader for this long.
 LEADER_BACKOFF_S: Final = 5.0
--- a/fescuekeel/components/turns/decision.py
+++ b/fescuekeel/components/turns/decision.py
@@ -11,8 +11,8 @@
 from fescuekeel.components.turns.const import (
     AGED_AFTER_LOADS,
     AGED_EVERY,
+    ASK_HOLD_S,
     GRANT_TIMEOUT_LOADS,
-    HOLD_S,
     INITIAL_LOAD_S,
     LEADER_KEY,
     LOAD_TIME_WEIGHT,
@@ -43,7 +43,7 @@
 class TurnReply:
     """Effect: answer an open ask."""
 
-    question: PeerMessage
+    request: PeerMessage
     answer: TurnAnswer
 
 
@@ -55,7 +55,7 @@
     the ask was last repeated or deferred.
     """
 
-    question: PeerMessage
+    request: PeerMessage
     value: float
     since: float
     held_since: float
@@ -110,21 +110,21 @@
         """Return the load that has the turn, if any."""
         return self._grant.key if self._grant is not None else None
 
-    def ask(self, question: PeerMessage, now: float) -> list[TurnReply]:
+    def ask(self, request: PeerMessage, now: float) -> list[TurnReply]:
         """Handle an ask; one with number zero only changes the value."""
-        body = question.body
+        body = request.body
         assert isinstance(body, TurnAsk)
         key = TurnKey(body.endpoint, body.adapter)
         pending = self._pending_by_key.get(key)
-        if question.number == 0:
+        if request.number == 0:
             if pending is not None:
                 pending.value = body.value
             return []
         replies = []
-        if pending is not None and pending.question.number:
-            replies.append(self._defer(pending.question))
+        if pending is not None and pending.request.number:
+            replies.append(self._defer(pending.request))
         since = pending.since if pending is not None else now
-        self._pending_by_key[key] = PendingAsk(question, body.value, since, now)
+        self._pending_by_key[key] = PendingAsk(request, body.value, since, now)
         return replies + self._advance(now)
 
     def done(self, body: TurnDone, now: float) -> list[TurnReply]:
@@ -132,9 +132,9 @@
         key = TurnKey(body.endpoint, body.adapter)
         replies = []
         pending = self._pending_by_key.pop(key, None)
-        if pending is not None and pending.question.number:
+        if pending is not None and pending.request.number:
             # Without an answer the client would treat this leader as down.
-            replies.append(self._defer(pending.question))
+            replies.append(self._defer(pending.request))
         if self.granted_key == key:
             self._grant = None
             if body.took_ms > 0:
@@ -145,12 +145,12 @@
         """Expire the grant, grant the next turn, and defer asks held long."""
         replies = self._advance(now)
         for key, pending in list(self._pending_by_key.items()):
-            if now - pending.held_since < HOLD_S:
+            if now - pending.held_since < ASK_HOLD_S:
                 continue
-            if pending.question.number:
-                replies.append(self._defer(pending.question))
-                # Kept for another HOLD_S so that a repeated ask keeps its age.
-                pending.question = PeerMessage("", 0, pending.question.body)
+            if pending.request.number:
+                replies.append(self._defer(pending.request))
+                # Kept once more so that a repeated ask keeps its age.
+                pending.request = PeerMessage("", 0, pending.request.body)
                 pending.held_since = now
                 continue
             del self._pending_by_key[key]
@@ -180,13 +180,13 @@
         # answer may have been lost.
         if self.granted_key is not None:
             pending = self._pending_by_key.get(self.granted_key)
-            if pending is None or not pending.question.number:
+            if pending is None or not pending.request.number:
                 return []
             return [self._grant_turn(self.granted_key, now)]
         asks = {
             key: pending
             for key, pending in self._pending_by_key.items()
-            if pending.question.number
+            if pending.request.number
         }
         if not asks:
             return []
@@ -205,10 +205,10 @@
             self._grant_count += 1
         self._grant = CurrentGrant(key, now)
         answer = TurnAnswer(key.endpoint, key.adapter, granted=True)
-        return TurnReply(pending.question, answer)
+        return TurnReply(pending.request, answer)
 
-    def _defer(self, question: PeerMessage) -> TurnReply:
-        body = question.body
+    def _defer(self, request: PeerMessage) -> TurnReply:
+        body = request.body
         assert isinstance(body, TurnAsk)
         answer = TurnAnswer(body.endpoint, body.adapter, granted=False)
-        return TurnReply(question, answer)
+        return TurnReply(request, answer)
--- a/fescuekeel/components/turns/leader.py
+++ b/fescuekeel/components/turns/leader.py
@@ -61,7 +61,7 @@
     def _send(self, reply: TurnReply) -> None:
         if reply.answer.granted:
             self.instance.metrics.count("turns.granted")
-        get_peer_link(self.instance).answer(reply.question, reply.answer)
+        get_peer_link(self.instance).answer(reply.request, reply.answer)
 
     def _schedule_tick(self) -> None:
         """Start the timer, if any ask waits or a turn is granted."""
--- a/fescuekeel/errors.py
+++ b/fescuekeel/errors.py
@@ -172,7 +172,7 @@
     ``retry_after_s`` is a hint for the caller in seconds; zero if there is
     none.
 
-    >>> Failure(ErrorKind.QUEUE_FULL, retry_after_s=2.0).answer.status
+    >>> Failure(ErrorKind.QUEUE_FULL, retry_after_s=2.0).response.status
     503
     """
 
@@ -182,11 +182,11 @@
     retry_after_s: float = 0.0
 
     @property
-    def answer(self) -> ErrorResponse:
+    def response(self) -> ErrorResponse:
         """Return the response for this kind."""
         return RESPONSES_BY_KIND[self.kind]
 
     @property
     def outcome(self) -> Ran:
         """Return whether the request was executed, as far as is known."""
-        return self.answer.ran if self.ran is None else self.ran
+        return self.response.ran if self.ran is None else self.ran
--- a/fescuekeel/helpers/homes.py
+++ b/fescuekeel/helpers/endpoint_ranking.py
@@ -5,7 +5,12 @@
 from fescuekeel.messages import AdapterRef, LiveEntry, Member
 from fescuekeel.util import rendezvous
 
-__all__ = ["find_other", "rank_alive", "rank_endpoints", "rank_live_endpoints"]
+__all__ = [
+    "find_alternate",
+    "put_unreachable_last",
+    "rank_endpoints",
+    "rank_reachable_endpoints",
+]
 
 
 def rank_endpoints(
@@ -22,7 +27,7 @@
     return rendezvous.rank(str(adapter), ids)
 
 
-def rank_live_endpoints(
+def put_unreachable_last(
     ranked: Iterable[str],
     endpoints_by_id: Mapping[str, LiveEntry],
     members_by_id: Mapping[str, Member],
@@ -36,7 +41,7 @@
     return sorted(ranked, key=lambda id: endpoints_by_id[id].data_centre not in live)
 
 
-def rank_alive(
+def rank_reachable_endpoints(
     pool: str,
     adapter: AdapterRef,
     endpoints_by_id: Mapping[str, LiveEntry],
@@ -44,15 +49,15 @@
 ) -> Sequence[str]:
     """Return a pool's endpoints in the order in which they are tried."""
     ranked = rank_endpoints(pool, adapter, endpoints_by_id)
-    return rank_live_endpoints(ranked, endpoints_by_id, members_by_id)
+    return put_unreachable_last(ranked, endpoints_by_id, members_by_id)
 
 
-def find_other(endpoint: str, ranked: Sequence[str]) -> str | None:
+def find_alternate(endpoint: str, ranked: Sequence[str]) -> str | None:
     """Return the other one of an adapter's first two endpoints.
 
-    >>> find_other("e2", ["e1", "e2", "e3"])
+    >>> find_alternate("e2", ["e1", "e2", "e3"])
     'e1'
-    >>> find_other("e3", ["e1", "e2", "e3"])
+    >>> find_alternate("e3", ["e1", "e2", "e3"])
     """
     candidates = ranked[:2]
     if len(candidates) < 2 or endpoint not in candidates:
--- a/fescuekeel/helpers/peer_link.py
+++ b/fescuekeel/helpers/peer_link.py
@@ -19,12 +19,12 @@
 
     Messages to a peer arrive in order as long as the connection lasts. A
     message may be lost with its connection and is never retransmitted.
-    ``heard_by_id`` is when the last message of each recent peer arrived, in
-    seconds of the instance's clock.
+    ``last_received_by_id`` is when the last message of each recent peer
+    arrived, in seconds of the instance's clock.
     """
 
     @property
-    def heard_by_id(self) -> Mapping[str, float]:
+    def last_received_by_id(self) -> Mapping[str, float]:
         """Return when the last message of each peer arrived."""
 
     def send(self, instance_id: str, body: WireMessage) -> bool:
@@ -42,7 +42,7 @@
         may still have processed the request.
         """
 
-    def answer(self, question: PeerMessage, body: WireMessage) -> None:
+    def answer(self, request: PeerMessage, body: WireMessage) -> None:
         """Reply to a request of a peer."""
 
 
--- a/fescuekeel/messages/local.py
+++ b/fescuekeel/messages/local.py
@@ -20,12 +20,12 @@
     "MemberView",
     "OwnedEndpoint",
     "OwnedEndpoints",
-    "PeerLost",
+    "PeerAuthenticated",
+    "PeerConnectionLost",
     "PeerMessage",
-    "PeerMet",
     "SettingsReloaded",
-    "TreeHeard",
-    "TreeHeld",
+    "TreeAnnounced",
+    "TreeStored",
 ]
 
 
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerLost:
+class PeerConnectionLost:
     """The connection to a peer was lost, and possibly messages with it.
 
     ``reachable`` is true if another connection is already established: the
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerMet:
+class PeerAuthenticated:
     """A peer has authenticated on a new connection."""
 
     instance_id: str
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TreeHeld:
+class TreeStored:
     """Revision of the tree that this instance stores and serves to peers.
 
     ``digest`` is the manifest's SHA-256 in hex.
@@ -149,7 +149,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TreeHeard:
+class TreeAnnounced:
     """Another instance has announced a revision of the tree.
 
     ``holder`` is that instance, empty if unknown.
--- a/tests/components/forward/test_accounts.py
+++ b/tests/components/forward/test_accounts.py
@@ -92,7 +92,7 @@
 
     def test_stale_configuration_yields_503_with_retry_after(self):
         found = find_account(KEYED, make_route(), KEY, 60.0, BOUNDS)
-        assert found.answer.status == 503
+        assert found.response.status == 503
         assert found.retry_after_s > 0
 
     @pytest.mark.parametrize(
--- a/tests/components/gateway/fakes.py
+++ b/tests/components/gateway/fakes.py
@@ -102,7 +102,7 @@
         self.sent.append(body)
         return True
 
-    def answer(self, question, body):
+    def answer(self, request, body):
         if isinstance(body, StartAnswer):
             self.leave.append(body.granted)
 
--- a/tests/components/gateway/test_ranks.py
+++ b/tests/components/gateway/test_ranks.py
@@ -1,7 +1,7 @@
 """Tests of remembered ranks."""
 
 from fescuekeel.components.gateway.ranks import MAX_RANKED, Ranks
-from fescuekeel.components.gateway.routing import rank_alive
+from fescuekeel.components.gateway.routing import rank_reachable_endpoints
 from fescuekeel.messages import AdapterRef, LiveEntry, LiveRole, Member
 
 
@@ -25,7 +25,7 @@
         before, after = make_endpoints("e1", "e2", "e3"), make_endpoints("e1", "e2")
         for endpoints in (before, before, after, before):
             got = ranks.get("script", REF, endpoints, MEMBERS)
-            assert got == rank_alive("script", REF, endpoints, MEMBERS)
+            assert got == rank_reachable_endpoints("script", REF, endpoints, MEMBERS)
 
     def test_data_centres_that_died_come_last(self):
         ranks = Ranks()
--- a/tests/components/gateway/test_server.py
+++ b/tests/components/gateway/test_server.py
@@ -12,7 +12,7 @@
 from fescuekeel.const import MAX_BODY_BYTES
 from fescuekeel.errors import ErrorKind, Failure, RetryReason
 from fescuekeel.helpers.listen import split_address
-from fescuekeel.messages import CancelWork, MemberView, PeerLost
+from fescuekeel.messages import CancelWork, MemberView, PeerConnectionLost
 from tests.common import eventually
 from tests.components.gateway.fakes import make_view, open_bench
 
@@ -97,7 +97,7 @@
                 bench.owner.play = bench.owner.answer_whole
                 owner = next(iter(bench.gateway.requests_by_id.values()))
                 await eventually(lambda: owner.placement is not None)
-                bench.instance.bus.publish(PeerLost(owner.placement.owner))
+                bench.instance.bus.publish(PeerConnectionLost(owner.placement.owner))
                 assert (await task).code == 200
                 assert [submit.attempt for submit in bench.owner.submits] == [1, 2]
 
@@ -146,7 +146,9 @@
                 (request,) = bench.gateway.requests_by_id.values()
                 bench.owner.play = bench.owner.answer_whole
                 for _ in range(10):
-                    bench.instance.bus.publish(PeerLost(request.placement.owner))
+                    bench.instance.bus.publish(
+                        PeerConnectionLost(request.placement.owner)
+                    )
                     await asyncio.sleep(0)
                 assert (await task).code == 200
                 assert [submit.attempt for submit in bench.owner.submits] == [1, 2]
--- a/tests/components/membership/network.py
+++ b/tests/components/membership/network.py
@@ -16,7 +16,7 @@
     AnswerPing,
     IndirectProbe,
     IndirectProbeDone,
-    Pinged,
+    PingReceived,
     Probe,
     ProbeAnswered,
     ProbeFailed,
@@ -126,7 +126,7 @@
             message = PeerMessage(id, 1, Ping(news))
             if not self.reaches(id, target):
                 return
-            for effect in self.handle(target, Pinged(message, news)):
+            for effect in self.handle(target, PingReceived(message, news)):
                 if isinstance(effect, AnswerPing):
                     if self.reaches(target, id):
                         self.schedule(DELAY_S, id, partial(finish, effect.news))
@@ -153,7 +153,7 @@
                 )
             case SendNews(target, news):
                 if self.reaches(id, target):
-                    event = Pinged(PeerMessage(id, 0, Ping(news)), news)
+                    event = PingReceived(PeerMessage(id, 0, Ping(news)), news)
                     self.schedule(DELAY_S, target, lambda: self.deliver(target, event))
             case IndirectProbe(helper, target, _):
                 self.probe_indirectly(id, helper, target)
--- a/tests/components/membership/test_decision.py
+++ b/tests/components/membership/test_decision.py
@@ -7,7 +7,7 @@
 from fescuekeel.components.membership.decision import Membership
 from fescuekeel.components.membership.events import (
     Leave,
-    Pinged,
+    PingReceived,
     Probe,
     ProbeAnswered,
     ProbeFailed,
@@ -25,11 +25,11 @@
     Member,
     News,
     NewsKind,
+    PeerAuthenticated,
     PeerMessage,
-    PeerMet,
     Ping,
-    TreeHeard,
-    TreeHeld,
+    TreeAnnounced,
+    TreeStored,
 )
 from tests.components.membership.network import Network, make_live
 
@@ -200,18 +200,18 @@
     def test_higher_tree_revision_is_published_with_its_holder(self):
         network = Network(IDS)
         for id in IDS:
-            network.deliver(id, TreeHeld(4, "old"))
-        network.deliver("i2", TreeHeld(5, "new"))
+            network.deliver(id, TreeStored(4, "old"))
+        network.deliver("i2", TreeStored(5, "new"))
         network.run(3)
         for id in set(IDS) - {"i2"}:
-            assert network.trees_by_id[id] == TreeHeard(5, "new", "i2")
+            assert network.trees_by_id[id] == TreeAnnounced(5, "new", "i2")
 
     def test_lower_tree_revision_is_not_published(self):
         membership = Membership(Member("i1", "i1:1", "dc1", 1), Random(0))
-        membership.handle(TreeHeld(5, "new"), 0.0)
+        membership.handle(TreeStored(5, "new"), 0.0)
         news = (News(NewsKind.TREE_REVISION, "old", 4),)
-        pinged = Pinged(PeerMessage("i2", 0, Ping(news)), news)
-        effects = membership.handle(pinged, 0.1)
+        ping_received = PingReceived(PeerMessage("i2", 0, Ping(news)), news)
+        effects = membership.handle(ping_received, 0.1)
         assert not any(isinstance(effect, PublishTree) for effect in effects)
 
     @pytest.mark.parametrize(
@@ -221,13 +221,13 @@
         membership = Membership(Member("i1", "i1:1", "dc1", 7), Random(0))
         wrong = News(kind, "i1", 9, "elsewhere:1")
         request = PeerMessage("i2", 3, Ping((wrong,)))
-        effects = membership.handle(Pinged(request, (wrong,)), 0.0)
+        effects = membership.handle(PingReceived(request, (wrong,)), 0.0)
         own = next(effect for effect in effects if hasattr(effect, "request")).news[0]
         assert own == News(NewsKind.ALIVE, "i1", 10, "i1:1", "dc1")
 
     def test_peer_that_connects_becomes_a_member(self):
         membership = Membership(Member("i1", "i1:1", "dc1", 1), Random(0))
-        effects = membership.handle(PeerMet("i2", "i2:1", "dc2", 8), 0.0)
+        effects = membership.handle(PeerAuthenticated("i2", "i2:1", "dc2", 8), 0.0)
         member = effects[-1].view.members_by_id["i2"]
         assert member == Member("i2", "i2:1", "dc2", 8, InstanceState.ALIVE)
 
--- a/tests/components/membership/test_fleet.py
+++ b/tests/components/membership/test_fleet.py
@@ -3,7 +3,7 @@
 from collections import Counter, defaultdict
 
 from fescuekeel.components.membership.events import Probe, SendNews
-from fescuekeel.messages import PeerMet
+from fescuekeel.messages import PeerAuthenticated
 from tests.components.membership.network import Network
 
 FLEET = 195
@@ -29,8 +29,8 @@
         for id in self.ids:
             for seed in self.ids[:SEEDS]:
                 if seed != id:
-                    self.deliver(id, PeerMet(seed, f"{seed}:1", "dc1", 1))
-                    self.deliver(seed, PeerMet(id, f"{id}:1", "dc1", 1))
+                    self.deliver(id, PeerAuthenticated(seed, f"{seed}:1", "dc1", 1))
+                    self.deliver(seed, PeerAuthenticated(id, f"{id}:1", "dc1", 1))
 
     def run_effect(self, id, effect):
         if isinstance(effect, Probe | SendNews):
--- a/tests/components/operators/test_server.py
+++ b/tests/components/operators/test_server.py
@@ -20,7 +20,7 @@
     LiveRole,
     Member,
     MemberView,
-    TreeHeld,
+    TreeStored,
 )
 from tests.common import make_settings
 from tests.components.tree.common import TOKEN as SHOP_TOKEN, make_contents
@@ -36,7 +36,7 @@
     instance = Instance(structs.replace(settings, operators=operators))
     parts = [parse_part(*item).unwrap() for item in make_contents().items()]
     instance.bus.publish_state(TreeInForce(build_intent(7, parts).unwrap()))
-    instance.bus.publish_state(TreeHeld(7, "digest"))
+    instance.bus.publish_state(TreeStored(7, "digest"))
     member = Member("i1", "127.0.0.1:1", "dc1", 1)
     endpoint = LiveEntry(
         "e1", LiveRole.ENDPOINT, "127.0.0.1:2", "dc1", 1, pool="engines"
--- a/tests/components/owner/common.py
+++ b/tests/components/owner/common.py
@@ -115,8 +115,8 @@
         except TimeoutError:
             return Err(Failure(ErrorKind.PEER_UNREACHABLE))
 
-    def answer(self, question: PeerMessage, body: Any) -> None:
-        future = self.bed.answers_by_number.pop(question.number, None)
+    def answer(self, request: PeerMessage, body: Any) -> None:
+        future = self.bed.answers_by_number.pop(request.number, None)
         if future is not None and not future.done():
             future.set_result(body)
 
--- a/tests/components/owner/test_arrivals.py
+++ b/tests/components/owner/test_arrivals.py
@@ -13,7 +13,7 @@
     LiveRole,
     Member,
     MemberView,
-    PeerLost,
+    PeerConnectionLost,
     PeerMessage,
     SubmitAnswer,
 )
@@ -160,7 +160,7 @@
             other.says = None
             task = spawn(node, "r1")
             await eventually(lambda: len(other.asked) == 1)
-            node.instance.bus.publish(PeerLost("i1"))
+            node.instance.bus.publish(PeerConnectionLost("i1"))
             assert (await task).kind == ErrorKind.NOT_OWNER
             other.answer(WORSE)
             await eventually(lambda: node.endpoint.arrivals.is_empty)
--- a/tests/components/owner/test_endpoint.py
+++ b/tests/components/owner/test_endpoint.py
@@ -11,7 +11,7 @@
 from fescuekeel.messages import (
     AdapterRef,
     EntryOpenWork,
-    PeerLost,
+    PeerConnectionLost,
     RunningWork,
 )
 from standins.engine_state import EngineSettings
@@ -324,7 +324,7 @@
             await eventually(lambda: len(node.positions("r1")) > 10)
             del node.chunks[3:]
             stands_at = len(node.positions("r1"))
-            node.instance.bus.publish(PeerLost("i1", reachable=True))
+            node.instance.bus.publish(PeerConnectionLost("i1", reachable=True))
             await eventually(lambda: "r1" in node.ends_by_id)
             assert node.ends_by_id["r1"].kind == ""
             for chunk in node.chunks[3:]:
@@ -490,10 +490,10 @@
             node = await start_owned(bed)
             bed.engine.settings.load_s = 5.0
             await node.submit("i1", "r1")
-            node.instance.bus.publish(PeerLost("i1", reachable=True))
+            node.instance.bus.publish(PeerConnectionLost("i1", reachable=True))
             await asyncio.sleep(0.05)
             assert "r1" not in node.ends_by_id
-            node.instance.bus.publish(PeerLost("i1"))
+            node.instance.bus.publish(PeerConnectionLost("i1"))
             await eventually(lambda: "r1" in node.ends_by_id)
             assert node.ends_by_id["r1"].ran == "no"
 
--- a/tests/components/peers/test_link.py
+++ b/tests/components/peers/test_link.py
@@ -23,7 +23,7 @@
     LiveEntry,
     LiveList,
     LiveRole,
-    PeerLost,
+    PeerConnectionLost,
     Ping,
     StartAnswer,
     StartAsk,
@@ -152,10 +152,10 @@
                 await link.ask("i2", StartAsk("r", 1), 5)
                 await other.ask("i1", StartAsk("r", 1), 5)
                 lost = []
-                one.bus.subscribe(PeerLost, lost.append)
+                one.bus.subscribe(PeerConnectionLost, lost.append)
                 other._channels_by_id["i1"].connection.close()
                 await wait_for(lambda: lost)
-                assert lost[0] == PeerLost("i2", reachable=True)
+                assert lost[0] == PeerConnectionLost("i2", reachable=True)
 
         asyncio.run(run())
 
@@ -216,7 +216,7 @@
         async def run():
             one, two = make_instance("i1"), make_instance("i2")
             lost = []
-            one.bus.subscribe(PeerLost, lost.append)
+            one.bus.subscribe(PeerConnectionLost, lost.append)
             async with running(one) as (link,):
                 async with running(two):
                     publish_addresses(one, two)
@@ -230,7 +230,9 @@
                     failure = (await pending).failure()
                 assert failure.kind is ErrorKind.PEER_UNREACHABLE
                 assert failure.ran is None
-                await wait_for(lambda: PeerLost("i2", reachable=False) in lost)
+                await wait_for(
+                    lambda: PeerConnectionLost("i2", reachable=False) in lost
+                )
 
         asyncio.run(run())
 
@@ -240,7 +242,7 @@
         async def run():
             one, two = make_instance("i1"), make_instance("i2")
             lost = []
-            one.bus.subscribe(PeerLost, lost.append)
+            one.bus.subscribe(PeerConnectionLost, lost.append)
             async with running(one, two) as (link, other):
                 relay = StallingRelay(other.address)
                 address = await relay.start()
@@ -253,7 +255,9 @@
                 relay.connections[0]["stalled"] = True
                 failure = (await link.ask("i2", StartAsk("r", 2), 60)).failure()
                 assert failure.detail == "silent"
-                await wait_for(lambda: lost == [PeerLost("i2", reachable=True)])
+                await wait_for(
+                    lambda: lost == [PeerConnectionLost("i2", reachable=True)]
+                )
                 assert is_successful(await link.ask("i2", StartAsk("r", 3), 5))
                 assert relay.opened == 2
                 relay.server.close()
--- a/tests/components/tree/test_component.py
+++ b/tests/components/tree/test_component.py
@@ -19,8 +19,8 @@
     Member,
     MemberView,
     PeerMessage,
-    TreeHeard,
-    TreeHeld,
+    TreeAnnounced,
+    TreeStored,
 )
 from tests.common import make_settings
 from tests.components.tree.common import make_contents, make_manifest
@@ -45,7 +45,7 @@
         instance.bus.publish_peer(PeerMessage(self.id, 1, body))
         return Success(await self.answered)
 
-    def answer(self, question, body):
+    def answer(self, request, body):
         self.waiting.set_result(body)
 
     async def stop(self):
@@ -169,9 +169,9 @@
                 two = Node(nodes, "i2", "http://127.0.0.1:1")
                 held = one.instance.bus
                 held.subscribe(
-                    TreeHeld,
+                    TreeStored,
                     lambda held: two.instance.bus.publish(
-                        TreeHeard(held.revision, held.digest, "i1")
+                        TreeAnnounced(held.revision, held.digest, "i1")
                     ),
                 )
                 await one.start(["i1", "i2"])
--- a/tests/components/turns/test_turns.py
+++ b/tests/components/turns/test_turns.py
@@ -5,7 +5,7 @@
 from returns.result import Failure as Err, Success
 
 from fescuekeel.components.turns import DOMAIN, Turns
-from fescuekeel.components.turns.const import AGED_EVERY, HOLD_S
+from fescuekeel.components.turns.const import AGED_EVERY, ASK_HOLD_S
 from fescuekeel.components.turns.decision import TurnTable, choose_leader
 from fescuekeel.core import Instance
 from fescuekeel.errors import ErrorKind, Failure
@@ -52,7 +52,7 @@
         table = TurnTable()
         table.ask(make_ask(A), 0.0)
         table.ask(make_ask(B), 0.1)
-        (reply,) = table.tick(0.1 + HOLD_S)
+        (reply,) = table.tick(0.1 + ASK_HOLD_S)
         assert (reply.answer.adapter, reply.answer.granted) == (B, False)
         table.ask(make_ask(C), 0.8)
         table.ask(make_ask(B), 0.9)
@@ -104,7 +104,7 @@
     def __init__(self, instance):
         self.instance = instance
         self.unresponsive = False
-        self.questions = {}
+        self.requests = {}
 
     async def stop(self):
         pass
@@ -115,14 +115,14 @@
     async def ask(self, instance_id, body, timeout_s):
         if self.unresponsive:
             return Err(Failure(ErrorKind.PEER_UNREACHABLE))
-        number = len(self.questions) + 1
-        self.questions[number] = asyncio.get_running_loop().create_future()
+        number = len(self.requests) + 1
+        self.requests[number] = asyncio.get_running_loop().create_future()
         self.instance.bus.publish_peer(PeerMessage("i1", number, body))
-        return Success(await self.questions[number])
+        return Success(await self.requests[number])
 
-    def answer(self, question, body):
+    def answer(self, request, body):
         assert isinstance(body, TurnAnswer)
-        self.questions[question.number].set_result(body)
+        self.requests[request.number].set_result(body)
 
 
 async def make_turns():
--- a/tests/fuzz/network.py
+++ b/tests/fuzz/network.py
@@ -17,11 +17,11 @@
     RETRY_S,
 )
 from fescuekeel.errors import ErrorKind, Failure, Ran
-from fescuekeel.messages import PeerLost, PeerMessage
+from fescuekeel.messages import PeerConnectionLost, PeerMessage
 
 __all__ = ["Link"]
 
-# When the longest silence of a connection shows: one without a question.
+# When the longest silence of a connection shows: one without a request.
 SILENT_S = IDLE_HEARTBEAT_S + HEARTBEAT_TIMEOUT_S
 UNREACHABLE = Err(Failure(ErrorKind.PEER_UNREACHABLE))
 UNSENT = Err(Failure(ErrorKind.PEER_UNREACHABLE, ran=Ran.NO))
@@ -102,8 +102,8 @@
             timer.cancel()
             waiting.pop(number, None)
 
-    def answer(self, question, body):
-        where = self.questions.pop(question.number, None)
+    def answer(self, request, body):
+        where = self.questions.pop(request.number, None)
         if where is None or self.node.dead:
             return
         connection, number = where
@@ -171,7 +171,9 @@
                 self._put(connection, number, body)
             connection.waiting.clear()
             if connection.replaces:
-                self.node.instance.bus.publish(PeerLost(peer.id, reachable=True))
+                self.node.instance.bus.publish(
+                    PeerConnectionLost(peer.id, reachable=True)
+                )
             return
         limit = CONNECT_TIMEOUT_S if cut else HELLO_TIMEOUT_S
         if peer.dead or waited >= limit:
@@ -205,7 +207,7 @@
             self._connect(peer_id, replaces=True)
             return
         self.retry_at[peer_id] = now + RETRY_S
-        self.node.instance.bus.publish(PeerLost(peer_id, reachable=False))
+        self.node.instance.bus.publish(PeerConnectionLost(peer_id, reachable=False))
 
 
 def resolve(future, result):
--- a/tests/helpers/test_ticks.py
+++ b/tests/helpers/test_ticks.py
@@ -3,7 +3,7 @@
 import hypothesis.strategies as st
 from hypothesis import given
 
-from fescuekeel.components.catalog.const import DUTY_POLL_S, NEWS_PERIOD_S
+from fescuekeel.components.catalog.const import NEWS_PERIOD_S, WATCHER_POLL_S
 from fescuekeel.components.forward.component import SWEEP_PERIOD_S
 from fescuekeel.components.forward.use import USE_PERIOD_S
 from fescuekeel.components.membership.const import TICK_S as MEMBERSHIP_TICK_S
@@ -35,7 +35,7 @@
     def test_components_share_four_wake_ups_per_second(self):
         """Wake-ups of idle instances must not dominate their CPU time."""
         periods = (
-            DUTY_POLL_S,
+            WATCHER_POLL_S,
             NEWS_PERIOD_S,
             SWEEP_PERIOD_S,
             USE_PERIOD_S,
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -10,7 +10,7 @@
 
 from fescuekeel.components.tree.model import Pool, PoolKind, TreeInForce
 from fescuekeel.core import Instance
-from fescuekeel.helpers.homes import rank_endpoints
+from fescuekeel.helpers.endpoint_ranking import rank_endpoints
 from fescuekeel.messages import AdapterRef, MemberView
 from standins.platform import Platform
 from standins.tokens import expected_text
