--- a/fescuekeel/components/membership/decision.py
+++ b/fescuekeel/components/membership/decision.py
@@ -97,7 +97,7 @@
             PeerAuthenticated: self._members.merge_peer,
             PeerConnectionLost: self._handle_peer_lost,
             EndpointLeaving: self._members.mark_leaving,
-            TreeStored: self._handle_tree_held,
+            TreeStored: self._handle_tree_stored,
         }
 
     def handle(self, event: Event, now: float) -> list[Effect]:
@@ -275,7 +275,7 @@
         # than fits one message, or few known peers, one push is not enough.
         self._members.push_pending = self._members.has_news_to_push
 
-    def _handle_tree_held(self, held: TreeStored, now: float) -> None:
+    def _handle_tree_stored(self, held: TreeStored, now: float) -> None:
         if held.revision > self._members.tree_revision:
             self._members.held_tree = held
             self._members.push_pending = True
--- a/fescuekeel/components/turns/decision.py
+++ b/fescuekeel/components/turns/decision.py
@@ -149,7 +149,7 @@
                 continue
             if pending.request.number:
                 replies.append(self._defer(pending.request))
-                # Kept once more so that a repeated ask keeps its age.
+                # Kept for ASK_HOLD_S more, so a repeated ask keeps its age.
                 pending.request = PeerMessage("", 0, pending.request.body)
                 pending.held_since = now
                 continue
