--- a/fescuekeel/components/gateway/component.py
+++ b/fescuekeel/components/gateway/component.py
@@ -25,7 +25,7 @@
 from fescuekeel.messages import (
     EntryOpenWork,
     MemberView,
-    PeerLost,
+    PeerConnectionLost,
     PeerMessage,
     RunningWork,
     StartAnswer,
@@ -60,7 +60,9 @@
         bus = self.instance.bus
         for kind in (StartAsk, WorkStarted, WorkChunk, WorkEnd):
             bus.subscribe_peer(kind, self._post_message)
-        bus.subscribe(PeerLost, lambda lost: self._handle_owner_loss(lost.instance_id))
+        bus.subscribe(
+            PeerConnectionLost, lambda lost: self._handle_owner_loss(lost.instance_id)
+        )
         bus.subscribe(MemberView, self._update_members)
         bus.publish_state(EntryOpenWork(self._list_open_work))
         self.server.start()
@@ -212,7 +214,7 @@
         members = frozenset(view.members_by_id)
         self.limits.instances = max(1, len(members))
         # An owner in graceful shutdown has left the view but completes its
-        # work. If it dies before that, ``PeerLost`` reports it.
+        # work. If it dies before that, ``PeerConnectionLost`` reports it.
         for lost in self._members - members - view.left:
             self._handle_owner_loss(lost)
         self._members = members
--- a/fescuekeel/components/gateway/ranking_cache.py
+++ b/fescuekeel/components/gateway/ranking_cache.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from fescuekeel.components.gateway.routing import rank_alive
+from fescuekeel.components.gateway.routing import rank_reachable_endpoints
 from fescuekeel.messages import AdapterRef, LiveEntry, Member
 
 __all__ = ["RankingCache"]
@@ -41,7 +41,7 @@
         endpoints_by_id: Endpoints,
         members_by_id: Members,
     ) -> Sequence[str]:
-        """Return the ranking by ``rank_alive``, from the cache if possible."""
+        """Return the ranked endpoints, from the cache if possible."""
         self._clear_if_view_changed(endpoints_by_id, members_by_id)
         key = RankingKey(pool, adapter)
         ranked = self._rankings_by_key.get(key)
@@ -49,7 +49,7 @@
             return ranked
         if len(self._rankings_by_key) >= MAX_CACHED_RANKINGS:
             del self._rankings_by_key[next(iter(self._rankings_by_key))]
-        ranked = rank_alive(pool, adapter, endpoints_by_id, members_by_id)
+        ranked = rank_reachable_endpoints(pool, adapter, endpoints_by_id, members_by_id)
         self._rankings_by_key[key] = ranked
         return ranked
 
--- a/fescuekeel/components/operators/server.py
+++ b/fescuekeel/components/operators/server.py
@@ -50,8 +50,8 @@
 
     def send_failure(self, failure: Failure) -> None:
         """Respond with a failure as JSON."""
-        self.set_status(failure.answer.status)
-        text = failure.detail or failure.answer.text
+        self.set_status(failure.response.status)
+        text = failure.detail or failure.response.text
         self.finish({"error": {"kind": failure.kind.value, "text": text}})
 
     def send_result(self, result: Result[View, Failure]) -> None:
--- a/fescuekeel/components/owner/component.py
+++ b/fescuekeel/components/owner/component.py
@@ -28,7 +28,7 @@
     HandoverOffer,
     MemberView,
     OwnedEndpoints,
-    PeerLost,
+    PeerConnectionLost,
     PeerMessage,
     RunningAnswer,
     RunningAsk,
@@ -62,7 +62,7 @@
         bus.subscribe_peer(RunningAsk, self._answer_running)
         bus.subscribe_peer(HandoverOffer, self._handle_offer)
         bus.subscribe_peer(CopyAsk, self._answer_copy)
-        bus.subscribe(PeerLost, self._handle_peer_lost)
+        bus.subscribe(PeerConnectionLost, self._handle_peer_lost)
         bus.subscribe(MemberView, self._handle_view)
         self._handle_view(bus.latest(MemberView) or MemberView())
         self._tasks = [
@@ -250,7 +250,7 @@
         answer = HandoverAnswer(offer.endpoint, accepted)
         get_peer_link(self.instance).answer(message, answer)
 
-    def _handle_peer_lost(self, lost: PeerLost) -> None:
+    def _handle_peer_lost(self, lost: PeerConnectionLost) -> None:
         if not lost.reachable:
             self._post_entry_lost(lost.instance_id)
             return
--- a/fescuekeel/components/owner/requests.py
+++ b/fescuekeel/components/owner/requests.py
@@ -170,7 +170,9 @@
             return
         self.instance.metrics.count(f"owner.refused.{kind}")
         failure = Failure(kind, ran=Ran.NO, retry_after_s=retry_s)
-        end = make_work_end(item, Outcome(failure, failure.answer.status), WaitTimes())
+        end = make_work_end(
+            item, Outcome(failure, failure.response.status), WaitTimes()
+        )
         self.host.link.send(item.entry, end)
 
     def refuse_queued(self, kind: ErrorKind, entry: str = "") -> None:
--- a/fescuekeel/components/placement/publisher.py
+++ b/fescuekeel/components/placement/publisher.py
@@ -12,9 +12,14 @@
 )
 from fescuekeel.components.placement.updates import EndpointSnapshot, UpdateWriter
 from fescuekeel.core import Instance
-from fescuekeel.helpers.board import PlacementBoard
 from fescuekeel.helpers.peer_link import get_peer_link
-from fescuekeel.messages import MemberView, PeerLost, PlacementNews, PlacementState
+from fescuekeel.helpers.placement_view import PlacementView
+from fescuekeel.messages import (
+    MemberView,
+    PeerConnectionLost,
+    PlacementNews,
+    PlacementState,
+)
 
 __all__ = ["UpdatePublisher", "sends_to_all"]
 
@@ -39,12 +44,12 @@
     def __init__(
         self,
         instance: Instance,
-        board: PlacementBoard,
+        placement_view: PlacementView,
         list_snapshots: Callable[[], Iterable[EndpointSnapshot]],
         list_data_centres: Callable[[], set[str]],
     ) -> None:
         self._instance = instance
-        self._board = board
+        self._placement_view = placement_view
         self._list_snapshots = list_snapshots
         self._list_data_centres = list_data_centres
         self._writer = UpdateWriter()
@@ -57,7 +62,7 @@
 
     def start(self) -> None:
         """Subscribe to lost connections."""
-        self._instance.bus.subscribe(PeerLost, self._note_peer_lost)
+        self._instance.bus.subscribe(PeerConnectionLost, self._note_peer_lost)
 
     def forget(self, endpoint: str) -> None:
         """Forget an endpoint that is no longer held."""
@@ -114,7 +119,7 @@
         own_id = self._instance.id
         for state in states:
             if not state.released:
-                self._board.hear(own_id, state, now)
+                self._placement_view.apply_update(own_id, state, now)
         link = get_peer_link(self._instance)
         link.send_all(self._list_recipients(), PlacementNews(states))
 
@@ -165,7 +170,7 @@
         if states:
             get_peer_link(self._instance).send_all(newcomers, PlacementNews(states))
 
-    def _note_peer_lost(self, lost: PeerLost) -> None:
+    def _note_peer_lost(self, lost: PeerConnectionLost) -> None:
         self._sent_incarnations.pop(lost.instance_id, None)
         self._last_view = None
 
--- a/fescuekeel/components/tree/component.py
+++ b/fescuekeel/components/tree/component.py
@@ -33,10 +33,10 @@
     LiveList,
     MemberView,
     PeerMessage,
+    TreeAnnounced,
     TreeAsk,
-    TreeHeard,
-    TreeHeld,
     TreePart,
+    TreeStored,
 )
 
 __all__ = ["TreeFollower"]
@@ -62,7 +62,7 @@
         """Subscribe to members and peers, and start to read the tree."""
         bus = self.instance.bus
         bus.subscribe(MemberView, self._post_members)
-        bus.subscribe(TreeHeard, self._post_advertised)
+        bus.subscribe(TreeAnnounced, self._post_advertised)
         bus.subscribe_peer(TreeAsk, self._answer)
         await self._reader.start()
         await super().start()
@@ -126,7 +126,7 @@
         live_list_read = self.instance.bus.latest(LiveList) is not None
         self.post(MembersChanged(data_centres_by_id, live_list_read))
 
-    def _post_advertised(self, advertised: TreeHeard) -> None:
+    def _post_advertised(self, advertised: TreeAnnounced) -> None:
         self.post(
             RevisionAdvertised(
                 advertised.revision, advertised.digest, advertised.holder
@@ -181,7 +181,7 @@
         log_event("tree_in_force", revision=manifest.revision, digest=manifest.digest)
         self.instance.metrics.count("tree.in_force")
         self.instance.bus.publish_state(TreeInForce(snapshot.intent))
-        self.instance.bus.publish_state(TreeHeld(manifest.revision, manifest.digest))
+        self.instance.bus.publish_state(TreeStored(manifest.revision, manifest.digest))
 
     def _answer(self, message: PeerMessage) -> None:
         assert isinstance(message.body, TreeAsk)
--- a/tests/components/gateway/test_ranking_cache.py
+++ b/tests/components/gateway/test_ranking_cache.py
@@ -4,7 +4,7 @@
     MAX_CACHED_RANKINGS,
     RankingCache,
 )
-from fescuekeel.components.gateway.routing import rank_alive
+from fescuekeel.components.gateway.routing import rank_reachable_endpoints
 from fescuekeel.messages import AdapterRef, LiveEntry, LiveRole, Member
 
 
@@ -25,7 +25,7 @@
         before, after = make_endpoints("e1", "e2", "e3"), make_endpoints("e1", "e2")
         for endpoints in (before, before, after, before):
             got = rankings.get("script", REF, endpoints, MEMBERS)
-            assert got == rank_alive("script", REF, endpoints, MEMBERS)
+            assert got == rank_reachable_endpoints("script", REF, endpoints, MEMBERS)
 
     def test_endpoints_of_lost_data_centres_rank_last(self):
         rankings = RankingCache()
--- a/tests/components/gateway/test_server.py
+++ b/tests/components/gateway/test_server.py
@@ -12,7 +12,7 @@
 from fescuekeel.const import MAX_BODY_BYTES
 from fescuekeel.errors import ErrorKind, Failure, RetryReason
 from fescuekeel.helpers.listen import split_address
-from fescuekeel.messages import CancelWork, MemberView, PeerLost
+from fescuekeel.messages import CancelWork, MemberView, PeerConnectionLost
 from tests.common import eventually
 from tests.components.gateway.fakes import make_view, open_harness
 
@@ -97,7 +97,7 @@
                 harness.owner.respond = harness.owner.answer_whole
                 owner = next(iter(harness.gateway.requests_by_id.values()))
                 await eventually(lambda: owner.placement is not None)
-                harness.instance.bus.publish(PeerLost(owner.placement.owner))
+                harness.instance.bus.publish(PeerConnectionLost(owner.placement.owner))
                 assert (await task).code == 200
                 assert [submit.attempt for submit in harness.owner.submits] == [1, 2]
 
@@ -144,7 +144,9 @@
                 (request,) = harness.gateway.requests_by_id.values()
                 harness.owner.respond = harness.owner.answer_whole
                 for _ in range(10):
-                    harness.instance.bus.publish(PeerLost(request.placement.owner))
+                    harness.instance.bus.publish(
+                        PeerConnectionLost(request.placement.owner)
+                    )
                     await asyncio.sleep(0)
                 assert (await task).code == 200
                 assert [submit.attempt for submit in harness.owner.submits] == [1, 2]
--- a/tests/components/tree/test_component.py
+++ b/tests/components/tree/test_component.py
@@ -19,8 +19,8 @@
     Member,
     MemberView,
     PeerMessage,
-    TreeHeard,
-    TreeHeld,
+    TreeAnnounced,
+    TreeStored,
 )
 from tests.common import make_settings
 from tests.components.tree.common import make_contents, make_manifest
@@ -168,9 +168,9 @@
                 two = Node(nodes, "i2", "http://127.0.0.1:1")
                 bus = one.instance.bus
                 bus.subscribe(
-                    TreeHeld,
+                    TreeStored,
                     lambda held: two.instance.bus.publish(
-                        TreeHeard(held.revision, held.digest, "i1")
+                        TreeAnnounced(held.revision, held.digest, "i1")
                     ),
                 )
                 await one.start(["i1", "i2"])
