--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A randomized soak: real processes, faults from outside, promises checked."""
+"""Randomized soak test with fault injection on real daemons."""
 
 from bench.soak.command import main
 
--- a/bench/soak/accounts.py
+++ b/bench/soak/accounts.py
@@ -1,4 +1,4 @@
-"""The client accounts of a run, their keys, and what must hold of them."""
+"""Client accounts and API keys of a run, and the checks on them."""
 
 import time
 from collections.abc import Iterable, Sequence
@@ -6,21 +6,21 @@
 from random import Random
 from typing import Any
 
-from bench.soak.callers import Answer, Ending
+from bench.soak.callers import CallResult, Ending
 from bench.soak.violation import Violation
 from standins.forwarding.workers import RunRecord, Worker
 
-__all__ = ["REVOKED_S", "Accounts", "check_accounts"]
+__all__ = ["REVOCATION_BOUND_S", "Accounts", "check_accounts"]
 
-# A key that was taken away serves nowhere after this.
-REVOKED_S = 5.0
+# Daemons reject a revoked key at the latest after this.
+REVOCATION_BOUND_S = 5.0
 UNAUTHENTICATED = 401
-OPEN, LIMITED = "open-end", "limited"
+UNLIMITED, LIMITED = "open-end", "limited"
 KEYS_PER_ACCOUNT = 6
-# How late a run may be seen: the way of a request to an endpoint.
-WAY_S = 0.3
-# The limited account's rate and burst, in requests, and what the users allow
-# beyond them in any window.
+# Delay between authentication at the gateway and the run at the endpoint.
+FORWARDING_SLACK_S = 0.3
+# Rate and burst of the limited account, in requests, and the share by which
+# each window may exceed them.
 RATE_PER_S, BURST = 20.0, 20.0
 WINDOW_S, OVERAGE = 8.0, 0.25
 
@@ -28,22 +28,21 @@
 def _make_keys() -> dict[str, str]:
     return {
         f"key-of-{account}-{number}": account
-        for account in (OPEN, LIMITED)
+        for account in (UNLIMITED, LIMITED)
         for number in range(KEYS_PER_ACCOUNT)
     }
 
 
 @dataclass(slots=True)
 class Accounts:
-    """Hold whose key is whose, and when each one was taken away.
+    """API keys by account, and when each key was revoked.
 
-    Times are monotonic seconds. Callers go on using keys that were taken
-    away, and some that never were any.
+    Times are monotonic seconds. Callers also send revoked and unknown keys.
     """
 
     seed: int
     accounts_by_key: dict[str, str] = field(default_factory=_make_keys)
-    taken_at_by_key: dict[str, float] = field(default_factory=dict)
+    revoked_at_by_key: dict[str, float] = field(default_factory=dict)
     _random: Random = field(init=False)
 
     def __post_init__(self) -> None:
@@ -53,39 +52,39 @@
         """Return the key of the next request."""
         return self._random.choice([*self.accounts_by_key, "made-up"])
 
-    def take(self, target: int) -> None:
-        """Take a key away, as long as its account keeps two."""
+    def revoke(self, target: int) -> None:
+        """Revoke a key if its account keeps at least two."""
         key = sorted(self.accounts_by_key)[target % len(self.accounts_by_key)]
         if len(self._list_keys(self.accounts_by_key[key])) > 2:
-            self.taken_at_by_key.setdefault(key, time.monotonic())
+            self.revoked_at_by_key.setdefault(key, time.monotonic())
 
     def _list_keys(self, account: str) -> list[str]:
         return [
             key
             for key, owner in self.accounts_by_key.items()
-            if owner == account and key not in self.taken_at_by_key
+            if owner == account and key not in self.revoked_at_by_key
         ]
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return the accounts as the platform writes them."""
+        """Return the accounts in the format of the configuration."""
         limit = {"rate_per_s": RATE_PER_S, "burst": BURST}
         return [
-            {"name": OPEN, "api_keys": self._list_keys(OPEN)},
+            {"name": UNLIMITED, "api_keys": self._list_keys(UNLIMITED)},
             {"name": LIMITED, "api_keys": self._list_keys(LIMITED), **limit},
         ]
 
 
 def check_accounts(
-    accounts: Accounts, answers: Sequence[Answer], workers: Iterable[Worker]
+    accounts: Accounts, results: Sequence[CallResult], workers: Iterable[Worker]
 ) -> Iterable[Violation]:
-    """Check whose requests ran, with which key, and how many."""
+    """Check the account and key of each run, and the rate limit."""
     records = [record for worker in workers for record in worker.records]
-    keys_by_id = {answer.request_id: answer.key for answer in answers}
+    keys_by_id = {result.request_id: result.key for result in results}
     for record in records:
         key = keys_by_id.get(record.request_id)
         if key is not None:
             yield from _check_record(accounts, record, key)
-    yield from _check_refusals(accounts, answers)
+    yield from _check_rejections(accounts, results)
     yield from _check_limit(records)
 
 
@@ -98,23 +97,28 @@
     if owner is None:
         yield Violation("unknown key", f"{record} ran with {key}")
     elif record.account != owner:
-        yield Violation("account", f"{record} is {owner}'s")
-    taken = accounts.taken_at_by_key.get(key)
-    if taken is not None and record.at > taken + REVOKED_S + WAY_S:
-        late_s = record.at - taken
-        yield Violation("key taken away", f"{record} ran {late_s:.2f} s after")
-
-
-def _check_refusals(
-    accounts: Accounts, answers: Sequence[Answer]
+        yield Violation("account", f"{record} belongs to {owner}")
+    revoked_at = accounts.revoked_at_by_key.get(key)
+    if (
+        revoked_at is not None
+        and record.at > revoked_at + REVOCATION_BOUND_S + FORWARDING_SLACK_S
+    ):
+        late_s = record.at - revoked_at
+        yield Violation(
+            "key taken away", f"{record} ran {late_s:.2f} s after revocation"
+        )
+
+
+def _check_rejections(
+    accounts: Accounts, results: Sequence[CallResult]
 ) -> Iterable[Violation]:
-    for answer in answers:
-        if answer.status != UNAUTHENTICATED or answer.ending is not Ending.WHOLE:
+    for result in results:
+        if result.status != UNAUTHENTICATED or result.ending is not Ending.WHOLE:
             continue
-        known = answer.key in accounts.accounts_by_key
-        taken = accounts.taken_at_by_key.get(answer.key, float("inf"))
-        if known and answer.ended < taken:
-            yield Violation("known key", f"{answer} was called unknown")
+        known = result.key in accounts.accounts_by_key
+        revoked_at = accounts.revoked_at_by_key.get(result.key, float("inf"))
+        if known and result.ended_at < revoked_at:
+            yield Violation("known key", f"{result} was rejected as unknown")
 
 
 def _check_limit(records: Iterable[RunRecord]) -> Iterable[Violation]:
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers with connections of their own, and what they got."""
+"""Callers, each with its own connection, and the results of their requests."""
 
 import asyncio
 import itertools
@@ -16,22 +16,22 @@
 )
 from standins.forwarding.caller import make_headers
 
-__all__ = ["Answer", "Caller", "Ending", "Route"]
+__all__ = ["CallResult", "Caller", "Ending", "Route"]
 
 TIME_LEFT_S = 3.0
-# An answer that has not come so long after the time that a caller has is
-# none: what is passed on late is worth nothing, yet must end.
-GIVE_UP_S = TIME_LEFT_S + 2.0
+# A response that has not ended two seconds after the deadline is recorded as
+# silent.
+RESPONSE_TIMEOUT_S = TIME_LEFT_S + 2.0
 CONNECT_TIMEOUT_S = 1.0
-PAUSE_S = 0.03
-REFUSED_PAUSE_S = 0.1
+REQUEST_INTERVAL_S = 0.03
+RECONNECT_DELAY_S = 0.1
 ADAPTERS = 10
 BODY = b"body"
-NUMBERS = itertools.count(1)
+REQUEST_NUMBERS = itertools.count(1)
 
 
 class Route(StrEnum):
-    """Name the routes that callers use."""
+    """Routes that callers use."""
 
     LOOKUP = "lookup"
     CHARGE = "charge"
@@ -40,17 +40,17 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self in (Route.LOOKUP, Route.EXPLAIN)
 
     @property
     def stream(self) -> bool:
-        """Tell whether the answer is a stream."""
+        """Return whether the response is a stream."""
         return self in (Route.SCRIPT, Route.EXPLAIN)
 
 
 class Ending(StrEnum):
-    """Name how a request ended for its caller."""
+    """How a request ended for its caller."""
 
     WHOLE = "whole"
     CUT = "cut"
@@ -59,10 +59,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What a caller got; times are monotonic seconds.
+class CallResult:
+    """Result of one request; times are monotonic seconds.
 
-    ``status`` is 0 where no head came, and ``body`` what came of the answer.
+    ``status`` is 0 if no response headers arrived; ``body`` may be partial.
     """
 
     request_id: str
@@ -70,8 +70,8 @@
     daemon: int
     path: str
     adapter: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
     ending: Ending
     status: int = 0
     body: bytes = b""
@@ -79,12 +79,12 @@
 
 
 class Caller:
-    """Send requests one after the other, on one connection while it lasts."""
+    """Send requests sequentially, reconnecting when the connection closes."""
 
     def __init__(
         self, addresses: list[str], seed: int, choose_key: Callable[[], str]
     ) -> None:
-        self.answers: list[Answer] = []
+        self.results: list[CallResult] = []
         self._addresses = addresses
         self._random = Random(seed)
         self._choose_key = choose_key
@@ -92,17 +92,17 @@
         self._daemon = 0
 
     async def run(self, until: float) -> None:
-        """Send requests until a monotonic time."""
+        """Send requests until the given monotonic time."""
         while time.monotonic() < until:
             try:
                 connection = await self._get_connection()
             except NotConnectedError:
-                await asyncio.sleep(REFUSED_PAUSE_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
-            answer = await self._ask(connection)
-            if answer is not None:
-                self.answers.append(answer)
-            await asyncio.sleep(PAUSE_S)
+            result = await self._send_request(connection)
+            if result is not None:
+                self.results.append(result)
+            await asyncio.sleep(REQUEST_INTERVAL_S)
         if self._connection is not None:
             self._connection.close()
 
@@ -113,45 +113,45 @@
             self._connection = await connect(address, CONNECT_TIMEOUT_S)
         return self._connection
 
-    async def _ask(self, connection: Connection) -> Answer | None:
+    async def _send_request(self, connection: Connection) -> CallResult | None:
         route = self._random.choice(list(Route))
-        number = next(NUMBERS)
+        number = next(REQUEST_NUMBERS)
         request_id, path = f"{number:016x}", f"/{route.value}/{number}"
         adapter = f"a{self._random.randint(1, ADAPTERS)}" if route.stream else ""
         method = "GET" if route is Route.LOOKUP else "POST"
         body = BODY if method == "POST" else None
         key = self._choose_key()
         headers = make_headers(request_id, TIME_LEFT_S, adapter, body, key)
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             connection.send(method, path, headers, body or b"")
         except NotConnectedError:
             return None
-        status, came, ending = await self._read(connection)
-        return Answer(
+        status, received, ending = await self._read_response(connection)
+        return CallResult(
             request_id,
             route,
             self._daemon,
             path,
             adapter,
-            began,
+            started_at,
             time.monotonic(),
             ending,
             status,
-            came,
+            received,
             key,
         )
 
-    async def _read(self, connection: Connection) -> tuple[int, bytes, Ending]:
+    async def _read_response(self, connection: Connection) -> tuple[int, bytes, Ending]:
         status, body = 0, bytearray()
         closes = False
         try:
-            async with asyncio.timeout(GIVE_UP_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 head = await connection.read_head()
                 status = head.status
                 closes = head.get("connection").lower() == "close"
-                while (piece := await connection.read_piece()) is not None:
-                    body += piece.data
+                while (chunk := await connection.read_piece()) is not None:
+                    body += chunk.data
         except TimeoutError:
             connection.close()
             return status, bytes(body), Ending.SILENT
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -1,7 +1,7 @@
-"""Check what callers and endpoints saw against the promises; pure.
+"""Check a run against the safety and availability invariants; pure.
 
-Safety holds whatever fails. What has a time bound, or depends on others to be
-sound, is checked only where no fault can have had a hand in it.
+Safety is checked at all times. Time bounds and availability are checked only
+for requests that no fault overlaps.
 """
 
 import re
@@ -9,157 +9,166 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from bench.soak.callers import Answer, Ending, Route
+from bench.soak.callers import CallResult, Ending, Route
 from bench.soak.plan import Fault, FaultKind
 from bench.soak.violation import Violation
 from standins.forwarding.workers import Worker
 
-__all__ = ["Journal", "Leaving", "Violation", "check"]
+__all__ = ["Drain", "History", "Violation", "check"]
 
-NOT_RUN = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 SUCCESS = 200
 NOT_FOUND = 404
 EVENT = re.compile(rb"id: (\d+)\ndata: piece (\d+)\n\n")
-# A fault may show for so long after its end: the time of a caller, silent
-# connections that are noticed, claims that wait for a lease.
-AFTERMATH_S = 6.0
-# An endpoint that has announced its leaving gets nothing after two seconds;
-# the rest is what two processes' loops may lag beside each other.
-LEAVING_S = 2.5
+# How long a fault can affect requests after its end: request deadlines,
+# detection of unresponsive connections, and waiting for leases to expire.
+RECOVERY_S = 6.0
+# A draining endpoint receives nothing after two seconds; the rest allows for
+# event loop lag.
+DRAIN_BOUND_S = 2.5
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
-    """When an endpoint announced that it leaves, in monotonic seconds."""
+class Drain:
+    """When an endpoint started to drain, in monotonic seconds."""
 
     endpoint: str
-    at: float
+    started_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Journal:
-    """All that was seen in one run.
+class History:
+    """Faults, requests and endpoint records of one run.
 
-    ``began`` is the monotonic time that the faults' times count from.
+    The times of faults are relative to ``started_at``, a monotonic time.
     """
 
-    began: float
+    started_at: float
     faults: Sequence[Fault]
-    answers: Sequence[Answer]
+    results: Sequence[CallResult]
     workers: Sequence[Worker]
-    leavings: Sequence[Leaving] = ()
+    drains: Sequence[Drain] = ()
 
-    def is_disturbed(self, start: float, end: float, planned: bool = False) -> bool:
-        """Tell whether a fault can have had a hand in what happened then."""
+    def overlaps_fault(
+        self, start: float, end: float, include_planned: bool = False
+    ) -> bool:
+        """Return whether a fault can have affected this interval."""
         return any(
-            self.began + fault.at <= end
-            and start <= self.began + fault.ends + AFTERMATH_S
+            self.started_at + fault.starts_at <= end
+            and start <= self.started_at + fault.ends_at + RECOVERY_S
             for fault in self.faults
-            if planned or not fault.planned
+            if include_planned or not fault.planned
         )
 
 
-def check(journal: Journal) -> list[Violation]:
-    """Return every broken promise."""
-    runs = count_runs(journal.workers)
-    violations = list(check_runs(journal, runs))
-    for answer in journal.answers:
-        violations += check_answer(answer)
-    violations += check_endpoints(journal.workers)
-    violations += check_calm(journal, runs)
-    violations += check_leavings(journal)
+def check(history: History) -> list[Violation]:
+    """Return all violations."""
+    runs = count_runs(history.workers)
+    violations = list(check_runs(history, runs))
+    for result in history.results:
+        violations += check_result(result)
+    violations += check_endpoints(history.workers)
+    violations += check_undisturbed(history, runs)
+    violations += check_drains(history)
     return violations
 
 
 def count_runs(workers: Iterable[Worker]) -> Counter[str]:
-    """Return how often each request ran, over all endpoints."""
+    """Return the number of runs of each request over all endpoints."""
     runs: Counter[str] = Counter()
     for worker in workers:
         runs.update(worker.runs)
     return runs
 
 
-def check_runs(journal: Journal, runs: Counter[str]) -> Iterable[Violation]:
-    """Check that nothing ran twice, or ran although it was refused."""
-    for answer in journal.answers:
-        ran = runs[answer.request_id]
-        told_not_run = answer.status in NOT_RUN and answer.ending is not Ending.CUT
-        if told_not_run and ran and not answer.route.repeatable:
-            yield Violation("not run", f"{answer} ran {ran} times")
-        if ran > 1 and not answer.route.repeatable:
-            yield Violation("at most once", f"{answer} ran {ran} times")
+def check_runs(history: History, runs: Counter[str]) -> Iterable[Violation]:
+    """Check that no request ran twice, or ran although it was rejected."""
+    for result in history.results:
+        ran = runs[result.request_id]
+        rejected = result.status in NOT_RUN_STATUSES and result.ending is not Ending.CUT
+        if rejected and ran and not result.route.repeatable:
+            yield Violation("not run", f"{result} ran {ran} times")
+        if ran > 1 and not result.route.repeatable:
+            yield Violation("at most once", f"{result} ran {ran} times")
 
 
-def check_answer(answer: Answer) -> Iterable[Violation]:
-    """Check that an answer is the request's own, and whole if it looks so."""
-    if answer.status == NOT_FOUND:
-        yield Violation("routes", f"{answer} has a route")
-    if answer.status != SUCCESS:
+def check_result(result: CallResult) -> Iterable[Violation]:
+    """Check that a response belongs to its request and is complete."""
+    if result.status == NOT_FOUND:
+        yield Violation("routes", f"{result} should have found a route")
+    if result.status != SUCCESS:
         return
-    if answer.route.stream:
-        yield from check_stream(answer)
+    if result.route.stream:
+        yield from check_stream(result)
         return
-    method = "GET" if answer.route is Route.LOOKUP else "POST"
+    method = "GET" if result.route is Route.LOOKUP else "POST"
     sent = b"" if method == "GET" else b"body"
-    expected = f"{method} {answer.path} ".encode() + sent
-    if answer.ending is Ending.WHOLE and answer.body != expected:
-        yield Violation("own answer", f"{answer}")
+    expected = f"{method} {result.path} ".encode() + sent
+    if result.ending is Ending.WHOLE and result.body != expected:
+        yield Violation("own answer", f"{result}")
 
 
-def check_stream(answer: Answer) -> Iterable[Violation]:
-    """Check that events come once and in order, and all if it ends well."""
-    numbers = [int(first) for first, _ in EVENT.findall(answer.body)]
+def check_stream(result: CallResult) -> Iterable[Violation]:
+    """Check that events arrive once, in order, and without a gap."""
+    numbers = [int(first) for first, _ in EVENT.findall(result.body)]
     if numbers != list(range(1, len(numbers) + 1)):
-        yield Violation("stream order", f"{answer}")
+        yield Violation("stream order", f"{result}")
     events = Worker("").events
-    if answer.ending is Ending.WHOLE and len(numbers) != events:
-        yield Violation("whole stream", f"{answer}")
+    if result.ending is Ending.WHOLE and len(numbers) != events:
+        yield Violation("whole stream", f"{result}")
 
 
 def check_endpoints(workers: Iterable[Worker]) -> Iterable[Violation]:
-    """Check that no endpoint was overrun, nor had two holders at a time."""
+    """Check that no endpoint was overloaded or had two holders per token."""
     for worker in workers:
         if worker.overrun:
-            yield Violation("places", f"{worker.id} was ordered to hold too much")
+            yield Violation("places", f"{worker.id} exceeded its slots")
         holders_by_fence: dict[int, set[str]] = defaultdict(set)
         for fence, holder in zip(worker.fences, worker.holders, strict=True):
             holders_by_fence[fence].add(holder)
         for fence, holders in holders_by_fence.items():
             if len(holders) > 1:
-                yield Violation("fencing", f"{worker.id}: {fence} of {holders}")
+                yield Violation(
+                    "fencing", f"{worker.id}: fencing token {fence} used by {holders}"
+                )
 
 
-def check_calm(journal: Journal, runs: Counter[str]) -> Iterable[Violation]:
-    """Check that planned work costs no caller its answer."""
-    for answer in journal.answers:
-        if answer.ending is Ending.WHOLE:
+def check_undisturbed(history: History, runs: Counter[str]) -> Iterable[Violation]:
+    """Check that planned maintenance causes no failed request."""
+    for result in history.results:
+        if result.ending is Ending.WHOLE:
             continue
-        if journal.is_disturbed(answer.began, answer.ended):
+        if history.overlaps_fault(result.started_at, result.ended_at):
             continue
-        crossed = answer.ending is Ending.UNANSWERED and not runs[answer.request_id]
-        if not crossed:
-            yield Violation("graceful", f"{answer}")
-
-
-def check_leavings(journal: Journal) -> Iterable[Violation]:
-    """Check that an endpoint that leaves gets nothing new in the end."""
-    workers_by_id = {worker.id: worker for worker in journal.workers}
-    for leaving in journal.leavings:
-        bound = leaving.at + LEAVING_S
-        for record in workers_by_id[leaving.endpoint].records:
-            if record.at <= bound or journal.is_disturbed(leaving.at, record.at):
+        # The daemon may close an idle connection as the request arrives.
+        raced_with_close = (
+            result.ending is Ending.UNANSWERED and not runs[result.request_id]
+        )
+        if not raced_with_close:
+            yield Violation("graceful", f"{result}")
+
+
+def check_drains(history: History) -> Iterable[Violation]:
+    """Check that a draining endpoint gets no new requests after the bound."""
+    workers_by_id = {worker.id: worker for worker in history.workers}
+    for drain in history.drains:
+        bound = drain.started_at + DRAIN_BOUND_S
+        for record in workers_by_id[drain.endpoint].records:
+            if record.at <= bound or history.overlaps_fault(
+                drain.started_at, record.at
+            ):
                 continue
-            if _is_stopping(journal, leaving.at, record.at):
+            if _overlaps_daemon_stop(history, drain.started_at, record.at):
                 continue
-            late_s = record.at - leaving.at
-            yield Violation("leaving", f"{leaving} ran {record} after {late_s:.2f} s")
+            late_s = record.at - drain.started_at
+            yield Violation("leaving", f"{drain} ran {record} after {late_s:.2f} s")
 
 
-def _is_stopping(journal: Journal, start: float, end: float) -> bool:
-    """Tell whether a daemon was stopped or started meanwhile."""
+def _overlaps_daemon_stop(history: History, start: float, end: float) -> bool:
+    """Return whether a daemon was stopped or started in this interval."""
     return any(
-        journal.began + fault.at <= end
-        and start <= journal.began + fault.ends + AFTERMATH_S
-        for fault in journal.faults
+        history.started_at + fault.starts_at <= end
+        and start <= history.started_at + fault.ends_at + RECOVERY_S
+        for fault in history.faults
         if fault.kind is FaultKind.TERM
     )
--- a/bench/soak/command.py
+++ b/bench/soak/command.py
@@ -1,4 +1,4 @@
-"""Play seeds, print what was broken, and keep the logs of what failed."""
+"""Run seeds, print violations and keep the logs of failed runs."""
 
 import asyncio
 import secrets
@@ -10,60 +10,60 @@
 import fire
 
 from bench.soak.accounts import Accounts, check_accounts
-from bench.soak.callers import Answer, Caller, Ending
-from bench.soak.checks import AFTERMATH_S, Journal, check
+from bench.soak.callers import Caller, CallResult, Ending
+from bench.soak.checks import RECOVERY_S, History, check
 from bench.soak.plan import FAULTS_PER_S, Fault, make_plan
 from bench.soak.violation import Violation
 from bench.soak.world import SoakWorld
 from fescuekeel.helpers.exchange import NotConnectedError, connect, fetch
 from standins.forwarding.caller import make_headers
 
-__all__ = ["main", "play_seed"]
+__all__ = ["main", "run_seed"]
 
 CALLERS = 16
 DEFAULT_SECONDS = 12.0
 SEEDS = 5
-FAILED_LOGS = Path("soak-logs")
+FAILED_LOGS_FOLDER = Path("soak-logs")
 MAX_SHOWN = 5
-HEALED_TRIES = 3
-HEALED_TIME_LEFT_S = 3.0
+RECOVERY_ATTEMPTS = 3
+RECOVERY_TIME_LEFT_S = 3.0
 
 
-async def play_seed(
-    seed: int, seconds: float, folder: Path, per_s: float = FAULTS_PER_S
+async def run_seed(
+    seed: int, seconds: float, folder: Path, faults_per_s: float = FAULTS_PER_S
 ) -> list[Violation]:
-    """Play one seed, ``per_s`` faults a second; return broken promises."""
+    """Run one seed; return its violations."""
     accounts = Accounts(seed)
     world = SoakWorld(folder, accounts)
-    faults = make_plan(seed, seconds, per_s)
+    faults = make_plan(seed, seconds, faults_per_s)
     try:
         await world.start()
-        began = time.monotonic()
+        started_at = time.monotonic()
         addresses = [daemon.spec.addresses.callers for daemon in world.daemons]
         callers = [
             Caller(addresses, seed * CALLERS + number, accounts.choose_key)
             for number in range(CALLERS)
         ]
-        until = began + max(seconds, max(fault.ends for fault in faults))
+        until = started_at + max(seconds, max(fault.ends_at for fault in faults))
         load = asyncio.gather(*(caller.run(until) for caller in callers))
-        await world.play(faults, began)
+        await world.inject(faults, started_at)
         await load
-        violations = await check_healed(world)
-        answers = [answer for caller in callers for answer in caller.answers]
+        violations = await check_recovery(world)
+        results = [result for caller in callers for result in caller.results]
         workers = list(world.platform.workers_by_id.values())
-        journal = Journal(began, faults, answers, workers, world.leavings)
-        print_summary(seed, faults, answers)
-        violations += check_accounts(accounts, answers, workers)
-        return violations + check(journal)
+        history = History(started_at, faults, results, workers, world.drains)
+        print_summary(seed, faults, results)
+        violations += check_accounts(accounts, results, workers)
+        return violations + check(history)
     finally:
         await world.stop()
 
 
-async def check_healed(world: SoakWorld) -> list[Violation]:
-    """Check that every daemon serves the stated intent once all is over."""
+async def check_recovery(world: SoakWorld) -> list[Violation]:
+    """Check that all daemons recover and serve the latest configuration."""
     if not await world.wait_until_ready():
         return [Violation("recovery", "a daemon never became ready")]
-    await asyncio.sleep(AFTERMATH_S)
+    await asyncio.sleep(RECOVERY_S)
     violations = []
     newest, older = f"/v{world.version}/x", f"/v{world.version - 1}/x"
     wanted = [(newest, "GET", "", 200), (older, "GET", "", 404)]
@@ -73,29 +73,31 @@
     ]
     for daemon in world.daemons:
         for path, method, adapter, status in wanted:
-            found = await ask_until(
+            found = await request_until_status(
                 daemon.spec.addresses.callers, path, method, adapter, status
             )
             if found != status:
-                detail = f"{daemon.spec.id} {path}: {found}, not {status}"
+                detail = (
+                    f"{daemon.spec.id} {path}: got status {found}, expected {status}"
+                )
                 violations.append(Violation("recovery", detail))
     return violations + check_versions(world)
 
 
-async def ask_until(
+async def request_until_status(
     address: str, path: str, method: str, adapter: str, status: int
 ) -> int:
-    """Ask a few times, as a caller would; return the last status."""
+    """Send a request until it gets the status; return the last status."""
     found = 0
-    for _ in range(HEALED_TRIES):
-        headers = make_headers(secrets.token_hex(8), HEALED_TIME_LEFT_S, adapter, b"")
+    for _ in range(RECOVERY_ATTEMPTS):
+        headers = make_headers(secrets.token_hex(8), RECOVERY_TIME_LEFT_S, adapter, b"")
         try:
             connection = await connect(address, 1.0)
-            answer = await fetch(connection, method, path, headers, b"", 5.0)
+            response = await fetch(connection, method, path, headers, b"", 5.0)
         except (NotConnectedError, OSError) as error:
             print(f"{address}{path}: {error!r}")
             continue
-        found = answer.status
+        found = response.status
         connection.close()
         if found == status:
             return found
@@ -104,54 +106,64 @@
 
 
 def check_versions(world: SoakWorld) -> list[Violation]:
-    """Check that the last run of each adapter was of its newest version."""
+    """Check that each adapter last ran in its newest version."""
     last_by_adapter: dict[str, tuple[float, int]] = {}
     for worker in world.platform.workers_by_id.values():
         for record in worker.records:
             last = last_by_adapter.get(record.adapter, (0.0, 0))
             last_by_adapter[record.adapter] = max(last, (record.at, record.version))
     return [
-        Violation("version", f"{adapter}: ran {last_by_adapter[adapter][1]} last")
+        Violation(
+            "version", f"{adapter}: last run had version {last_by_adapter[adapter][1]}"
+        )
         for adapter, newest in sorted(world.adapter_versions.items())[:2]
         if last_by_adapter.get(adapter, (0.0, newest))[1] != newest
     ]
 
 
-def print_summary(seed: int, faults: list[Fault], answers: list[Answer]) -> None:
-    """Print what was done and what callers got, one line a seed."""
-    endings = Counter(answer.ending for answer in answers)
+def print_summary(seed: int, faults: list[Fault], results: list[CallResult]) -> None:
+    """Print the faults and results of one seed on one line."""
+    endings = Counter(result.ending for result in results)
     statuses = Counter(
-        answer.status for answer in answers if answer.ending is Ending.WHOLE
+        result.status for result in results if result.ending is Ending.WHOLE
+    )
+    ending_counts = " ".join(f"{ending.value}={endings[ending]}" for ending in Ending)
+    status_counts = " ".join(
+        f"{status}={count}" for status, count in sorted(statuses.items())
     )
-    counts = " ".join(f"{ending.value}={endings[ending]}" for ending in Ending)
-    told = " ".join(f"{status}={count}" for status, count in sorted(statuses.items()))
     kinds = Counter(fault.kind for fault in faults)
-    done = ",".join(f"{kind.value}*{count}" for kind, count in sorted(kinds.items()))
-    print(f"seed={seed} asked={len(answers)} {counts} {told} faults={done}", flush=True)
+    fault_counts = ",".join(
+        f"{kind.value}*{count}" for kind, count in sorted(kinds.items())
+    )
+    print(
+        f"seed={seed} asked={len(results)} {ending_counts} {status_counts}"
+        f" faults={fault_counts}",
+        flush=True,
+    )
 
 
 def run_seeds(
     seeds: int = SEEDS, first_seed: int = 0, seconds: float = DEFAULT_SECONDS
 ) -> int:
-    """Play seeds in turn, fresh ones without a first; return the exit code."""
+    """Run consecutive seeds, from a random one by default."""
     first = first_seed or secrets.randbelow(2**31)
     failed = []
     for seed in range(first, first + seeds):
         with tempfile.TemporaryDirectory(prefix="fescuekeel-soak-") as name:
             folder = Path(name)
-            violations = asyncio.run(play_seed(seed, seconds, folder))
+            violations = asyncio.run(run_seed(seed, seconds, folder))
             if violations:
                 failed.append(seed)
                 keep_logs(seed, folder)
         for violation in violations[:MAX_SHOWN]:
-            print(f"violation seed={seed} {violation.promise}: {violation.detail}")
+            print(f"violation seed={seed} {violation.invariant}: {violation.detail}")
     print(f"seeds={seeds} failed={len(failed)} {failed}")
     return 1 if failed else 0
 
 
 def keep_logs(seed: int, folder: Path) -> None:
-    """Copy the daemons' logs of a seed that failed."""
-    target = FAILED_LOGS / str(seed)
+    """Copy the daemon logs of a failed seed."""
+    target = FAILED_LOGS_FOLDER / str(seed)
     target.mkdir(parents=True, exist_ok=True)
     for log in folder.glob("*.log"):
         (target / log.name).write_bytes(log.read_bytes())
@@ -159,5 +171,5 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Read the command line."""
+    """Parse the command line and run the seeds."""
     return int(fire.Fire(run_seeds, command=arguments, name="soak"))
--- a/bench/soak/plan.py
+++ b/bench/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draw the faults of one run from a seed; pure."""
+"""Generate the faults of one run from a seed; pure."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class FaultKind(StrEnum):
-    """Name what is done, and to what: a daemon, an endpoint or all."""
+    """Faults of daemons, endpoints, the store and the configuration."""
 
     KILL = "kill"
     TERM = "term"
@@ -43,14 +43,17 @@
     KILL_ALL = "kill_all"
 
 
-# Kinds that came later are drawn apart, so that a seed's other faults stay.
-LATER_KINDS = (FaultKind.ENDPOINT_RESTARTS, FaultKind.FOREIGN_ENTRY)
+# These kinds have their own random streams, so that a seed draws the same
+# faults of the base kinds.
+ADDED_KINDS = (FaultKind.ENDPOINT_RESTARTS, FaultKind.FOREIGN_ENTRY)
 ACCOUNT_KINDS = (FaultKind.KEY_TAKEN,)
-WHOLE_KINDS = (FaultKind.KILL_ALL,)
-FIRST_KINDS = tuple(
-    kind for kind in FaultKind if kind not in LATER_KINDS + ACCOUNT_KINDS + WHOLE_KINDS
+FULL_OUTAGE_KINDS = (FaultKind.KILL_ALL,)
+BASE_KINDS = tuple(
+    kind
+    for kind in FaultKind
+    if kind not in ADDED_KINDS + ACCOUNT_KINDS + FULL_OUTAGE_KINDS
 )
-# Planned work, which must not be seen by any caller.
+# Planned maintenance, which must not fail any request.
 PLANNED = frozenset(
     {
         FaultKind.TERM,
@@ -62,67 +65,72 @@
         FaultKind.KEY_TAKEN,
     }
 )
-MAX_LENGTH_S = 3.0
-MAX_SERIES = 3
+MAX_DURATION_S = 3.0
+MAX_FAULTS_IN_SERIES = 3
 MAX_SERIES_GAP_S = 1.0
 FAULTS_PER_S = 1.2
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault; times are seconds from the start of the load.
+    """One fault; times are in seconds after the start of the load.
 
-    ``target`` picks a daemon or an endpoint, by its index modulo their number.
+    ``target`` selects a daemon or an endpoint, by index modulo their number.
     """
 
     kind: FaultKind
-    at: float
-    for_s: float
+    starts_at: float
+    duration_s: float
     target: int
 
     @property
     def planned(self) -> bool:
-        """Tell whether it is planned work."""
+        """Return whether this is planned maintenance."""
         return self.kind in PLANNED
 
     @property
-    def ends(self) -> float:
-        """Return when it is over."""
-        return self.at + self.for_s
+    def ends_at(self) -> float:
+        """Return the end of the fault."""
+        return self.starts_at + self.duration_s
 
 
-def make_plan(seed: int, seconds: float, per_s: float = FAULTS_PER_S) -> list[Fault]:
-    """Return the faults of a run in the order of their beginning.
+def make_plan(
+    seed: int, seconds: float, faults_per_s: float = FAULTS_PER_S
+) -> list[Fault]:
+    """Return the faults of a run, ordered by start.
 
-    They come alone or in a short series of the same kind, at any time, so
-    that they overlap.
+    Each one is single or part of a short series of its kind; faults overlap.
 
     >>> make_plan(7, 10.0) == make_plan(7, 10.0)
     True
     """
-    later_share = len(LATER_KINDS) / len(FIRST_KINDS)
-    first = _draw(Random(seed), FIRST_KINDS, seconds, per_s)
-    later = _draw(Random(f"{seed} later"), LATER_KINDS, seconds, per_s * later_share)
-    account_share = len(ACCOUNT_KINDS) / len(FIRST_KINDS)
-    account_faults = _draw(
-        Random(f"{seed} accounts"), ACCOUNT_KINDS, seconds, per_s * account_share
+    added_share = len(ADDED_KINDS) / len(BASE_KINDS)
+    base_faults = _draw_faults(Random(seed), BASE_KINDS, seconds, faults_per_s)
+    added_faults = _draw_faults(
+        Random(f"{seed} later"), ADDED_KINDS, seconds, faults_per_s * added_share
+    )
+    account_share = len(ACCOUNT_KINDS) / len(BASE_KINDS)
+    account_faults = _draw_faults(
+        Random(f"{seed} accounts"), ACCOUNT_KINDS, seconds, faults_per_s * account_share
+    )
+    outage_share = len(FULL_OUTAGE_KINDS) / len(BASE_KINDS)
+    outage_faults = _draw_faults(
+        Random(f"{seed} whole"), FULL_OUTAGE_KINDS, seconds, faults_per_s * outage_share
     )
-    whole_share = len(WHOLE_KINDS) / len(FIRST_KINDS)
-    whole = _draw(Random(f"{seed} whole"), WHOLE_KINDS, seconds, per_s * whole_share)
-    faults = first + later + account_faults + whole
-    return sorted(faults, key=lambda fault: fault.at)
+    faults = base_faults + added_faults + account_faults + outage_faults
+    return sorted(faults, key=lambda fault: fault.starts_at)
 
 
-def _draw(
-    random: Random, kinds: Sequence[FaultKind], seconds: float, per_s: float
+def _draw_faults(
+    random: Random, kinds: Sequence[FaultKind], seconds: float, faults_per_s: float
 ) -> list[Fault]:
     faults: list[Fault] = []
-    while len(faults) < seconds * per_s:
+    while len(faults) < seconds * faults_per_s:
         kind = random.choice(kinds)
         at = random.uniform(0.0, seconds)
         target = random.randrange(100)
-        for _ in range(random.randint(1, MAX_SERIES)):
-            faults.append(Fault(kind, at, random.uniform(0.2, MAX_LENGTH_S), target))
+        for _ in range(random.randint(1, MAX_FAULTS_IN_SERIES)):
+            faults.append(Fault(kind, at, random.uniform(0.2, MAX_DURATION_S), target))
             at += random.uniform(0.0, MAX_SERIES_GAP_S)
             target += random.randint(0, 1)
     return faults
--- a/bench/soak/proxy.py
+++ b/bench/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections misbehave as told."""
+"""Loopback TCP proxy that injects network faults."""
 
 import asyncio
 import contextlib
@@ -16,22 +16,24 @@
 
 
 @dataclass(eq=False, slots=True)
-class Link:
-    """One connection through the proxy; ``silent`` never ends."""
+class ProxiedConnection:
+    """One connection through the proxy.
 
-    near: asyncio.StreamWriter
-    far: asyncio.StreamWriter
-    silent: bool = False
+    Once ``unresponsive``, it passes no more bytes.
+    """
+
+    downstream: asyncio.StreamWriter
+    upstream: asyncio.StreamWriter
+    unresponsive: bool = False
 
 
 @dataclass(eq=False)
 class Proxy:
-    """Pass connections on to one address.
+    """Forward connections to one address.
 
-    ``to_target`` and ``from_target`` let bytes pass in each direction; bytes
-    that are held back arrive once they do again. While both are shut, a new
-    connection is not made either: it hangs as behind a cut. Each piece is
-    delayed by ``delay_s``.
+    ``to_target`` and ``from_target`` let bytes pass in each direction; a
+    cleared event delays them until it is set. New connections hang while
+    ``to_target`` is cleared. Each chunk is delayed by ``delay_s``.
     """
 
     target: str
@@ -39,51 +41,51 @@
     delay_s: float = 0.0
     to_target: asyncio.Event = field(default_factory=asyncio.Event)
     from_target: asyncio.Event = field(default_factory=asyncio.Event)
-    _links: set[Link] = field(default_factory=set)
+    _connections: set[ProxiedConnection] = field(default_factory=set)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _server: asyncio.Server | None = None
 
     async def start(self) -> str:
-        """Listen, and return the address that leads to the target."""
+        """Start to listen; return the address of the proxy."""
         self.heal()
         self._server = await asyncio.start_server(self._accept, LOOPBACK, 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"{LOOPBACK}:{port}"
         return self.address
 
-    def cut(self, one_way: bool = False) -> None:
-        """Hold back all bytes, or those to the target only."""
+    def partition(self, one_way: bool = False) -> None:
+        """Block both directions, or only the one to the target."""
         self.to_target.clear()
         if not one_way:
             self.from_target.clear()
 
     def heal(self) -> None:
-        """End a cut and a delay; links that went silent stay so."""
+        """End partitions and delays; unresponsive connections stay so."""
         self.delay_s = 0.0
         self.to_target.set()
         self.from_target.set()
 
-    def silence_open(self) -> None:
-        """Let open connections go silent for good; new ones work."""
-        for link in self._links:
-            link.silent = True
+    def stall_connections(self) -> None:
+        """Make open connections unresponsive; new ones work."""
+        for connection in self._connections:
+            connection.unresponsive = True
 
-    def reset_open(self) -> None:
+    def reset_connections(self) -> None:
         """Reset open connections at both ends."""
-        for link in list(self._links):
-            _reset(link.near)
-            _reset(link.far)
+        for connection in list(self._connections):
+            _reset(connection.downstream)
+            _reset(connection.upstream)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the listener and reset all connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for link in list(self._links):
-            _reset(link.near)
-            _reset(link.far)
+        for connection in list(self._connections):
+            _reset(connection.downstream)
+            _reset(connection.upstream)
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -91,50 +93,54 @@
         await self.to_target.wait()
         host, _, port = self.target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             _reset(writer)
             return
-        link = Link(writer, far_writer)
-        self._links.add(link)
-        self._spawn(self._pump(link, reader, far_writer, self.to_target))
-        self._spawn(self._pump(link, far_reader, writer, self.from_target))
+        connection = ProxiedConnection(writer, upstream_writer)
+        self._connections.add(connection)
+        self._spawn(self._relay(connection, reader, upstream_writer, self.to_target))
+        self._spawn(self._relay(connection, upstream_reader, writer, self.from_target))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _pump(
+    async def _relay(
         self,
-        link: Link,
+        connection: ProxiedConnection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        flowing: asyncio.Event,
+        passing: asyncio.Event,
     ) -> None:
-        ended_well = False
+        closed_cleanly = False
         try:
             while data := await reader.read(READ_BYTES):
-                await self._hold(link, flowing)
+                await self._wait_to_pass(connection, passing)
                 writer.write(data)
                 await writer.drain()
-            ended_well = True
+            closed_cleanly = True
         except OSError:
-            # A reset at one end is one at the other, below.
-            ended_well = False
-        await self._hold(link, flowing)
-        self._links.discard(link)
-        if not ended_well:
+            # Propagated to the other side as a reset below.
+            closed_cleanly = False
+        await self._wait_to_pass(connection, passing)
+        self._connections.discard(connection)
+        if not closed_cleanly:
             _reset(writer)
             return
         with contextlib.suppress(OSError, RuntimeError):
             writer.write_eof()
 
-    async def _hold(self, link: Link, flowing: asyncio.Event) -> None:
-        await flowing.wait()
+    async def _wait_to_pass(
+        self, connection: ProxiedConnection, passing: asyncio.Event
+    ) -> None:
+        await passing.wait()
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
-        if link.silent:
+        if connection.unresponsive:
             await asyncio.Event().wait()
 
 
--- a/bench/soak/violation.py
+++ b/bench/soak/violation.py
@@ -1,4 +1,4 @@
-"""What a check reports."""
+"""Result of a failed check."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken promise."""
+    """One violated invariant."""
 
-    promise: str
+    invariant: str
     detail: str
--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -1,4 +1,4 @@
-"""The processes, proxies and stand-ins of one run, and the faults on them."""
+"""Daemon processes, proxies and stand-ins of one run; applies its faults."""
 
 import asyncio
 import contextlib
@@ -10,8 +10,8 @@
 
 from tornado.httpclient import AsyncHTTPClient
 
-from bench.soak.accounts import REVOKED_S, Accounts
-from bench.soak.checks import Leaving
+from bench.soak.accounts import REVOCATION_BOUND_S, Accounts
+from bench.soak.checks import Drain
 from bench.soak.plan import Fault, FaultKind
 from bench.soak.proxy import Proxy
 from standins.fleet import free_addresses
@@ -35,14 +35,14 @@
 __all__ = ["DaemonProcess", "SoakWorld"]
 
 DAEMONS_PER_ZONE = 2
-FAULTS_AT_ENDPOINT = 2
-LEAVE_S = 2.5
-LAPSE_S = 1.0
-# A stream takes a third of a second, so that faults meet streams under way.
+ENDPOINT_ERRORS_PER_FAULT = 2
+DRAIN_S = 2.5
+PLATFORM_DELAY_S = 1.0
+# Makes a stream last 0.3 s, so that faults hit streams in progress.
 EVENT_S = 0.05
 STOP_TIMEOUT_S = 10.0
 DELAY_S = 0.15
-# Holders must not count on a report that shows an order right after it.
+# Makes reports lag behind orders.
 REPORT_LAG_S = 0.25
 FOREIGN_BYTES = (b"\xff\x00\x17", b'{"service": 7}', b"[]")
 CALLERS_PORT, OPERATORS_PORT, PEERS_PORT, READY_PORT = range(4)
@@ -50,7 +50,7 @@
 
 @dataclass(eq=False)
 class DaemonProcess:
-    """One daemon, and the proxies that lead to it and from it."""
+    """One daemon, with proxies before its peer port and the store."""
 
     spec: DaemonSpec
     peers: Proxy
@@ -59,19 +59,19 @@
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     def signal(self, number: signal.Signals) -> None:
-        """Signal this process, if it lives, and no other."""
+        """Send a signal to this process if it is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
 
 class SoakWorld:
-    """Start everything, carry faults out, and end what was started."""
+    """Start the processes of a run, inject its faults and stop them."""
 
     def __init__(self, folder: Path, accounts: Accounts) -> None:
         self.platform = StandInPlatform()
         self.accounts = accounts
         self.daemons: list[DaemonProcess] = []
-        self.leavings: list[Leaving] = []
+        self.drains: list[Drain] = []
         self.version = 1
         self.adapter_versions: dict[str, int] = {}
         self.client = AsyncHTTPClient(force_instance=True, max_clients=100)
@@ -83,24 +83,24 @@
             FaultKind.TERM: self._term,
             FaultKind.PAUSE: self._pause,
             FaultKind.RELOAD: self._reload,
-            FaultKind.STORE_REFUSES: self._refuse_at_store,
-            FaultKind.STORE_FORGETS: self._forget_at_store,
-            FaultKind.ENDPOINT_FAILS: self._misbehave,
-            FaultKind.ENDPOINT_SHEDS: self._misbehave,
-            FaultKind.ENDPOINT_BREAKS: self._misbehave,
-            FaultKind.ENDPOINT_LEAVES: self._leave,
-            FaultKind.ENDPOINT_CRASHES: self._crash,
-            FaultKind.ENDPOINT_RESTARTS: self._restart,
+            FaultKind.STORE_REFUSES: self._make_store_unavailable,
+            FaultKind.STORE_FORGETS: self._clear_store_history,
+            FaultKind.ENDPOINT_FAILS: self._inject_endpoint_errors,
+            FaultKind.ENDPOINT_SHEDS: self._inject_endpoint_errors,
+            FaultKind.ENDPOINT_BREAKS: self._inject_endpoint_errors,
+            FaultKind.ENDPOINT_LEAVES: self._drain_endpoint,
+            FaultKind.ENDPOINT_CRASHES: self._crash_endpoint,
+            FaultKind.ENDPOINT_RESTARTS: self._restart_endpoint,
             FaultKind.FOREIGN_ENTRY: self._write_foreign_entry,
-            FaultKind.CONFIGURATION: self._configure,
-            FaultKind.KEY_TAKEN: self._take_key,
-            FaultKind.ADAPTER_VERSION: self._name_version,
+            FaultKind.CONFIGURATION: self._change_configuration,
+            FaultKind.KEY_TAKEN: self._revoke_key,
+            FaultKind.ADAPTER_VERSION: self._publish_adapter_version,
         }
 
-    # Start and end.
+    # Start and stop.
 
     async def start(self) -> None:
-        """Start the platform behind proxies, and the daemons."""
+        """Start the platform, the proxies and the daemons."""
         self.platform.start_store()
         for zone in ZONES:
             await self.add_worker(ENGINES, zone)
@@ -123,14 +123,14 @@
                 proxies[number].address,
                 seeds,
                 await store.start(),
-                revoked_bound_s=REVOKED_S,
+                revoked_bound_s=REVOCATION_BOUND_S,
             )
             self.daemons.append(DaemonProcess(spec, proxies[number], store))
         await asyncio.gather(*(self._start(daemon) for daemon in self.daemons))
         await self.wait_until_ready()
 
     async def wait_until_ready(self) -> bool:
-        """Wait until every daemon is ready; false if one never is."""
+        """Wait until all daemons are ready; return false on a timeout."""
         ready = await asyncio.gather(
             *(
                 wait_until_ready(self.client, daemon.spec.addresses.ready)
@@ -140,7 +140,7 @@
         return all(ready)
 
     async def add_worker(self, service: str, zone: str) -> Worker:
-        """Start a worker behind a proxy and publish it."""
+        """Start a worker behind a proxy and publish its address."""
         worker = Worker(service, MODEL if service == ENGINES else "")
         worker.event_s = EVENT_S
         worker.report_lag_s = REPORT_LAG_S
@@ -151,7 +151,7 @@
         return worker
 
     def publish_configuration(self) -> None:
-        """Publish the configuration with the route of its version."""
+        """Publish a configuration with a route named after its version."""
         route = make_route(f"v{self.version}", "safe", PLAIN, public=True)
         healed = make_route("healed", "stream", ENGINES, public=True)
         configuration = make_configuration(self.version, route, healed)
@@ -159,12 +159,12 @@
         self.platform.publish_configuration(configuration)
 
     async def stop(self) -> None:
-        """End the daemons by their ids, then the rest."""
+        """Stop the daemons, then the proxies and the platform."""
         for daemon in self.daemons:
             daemon.signal(signal.SIGCONT)
             daemon.signal(signal.SIGTERM)
         for daemon in self.daemons:
-            await self._wait_for_end(daemon)
+            await self._wait_for_exit(daemon)
             await daemon.peers.stop()
             await daemon.store.stop()
         for proxy in self._proxies_by_worker.values():
@@ -174,7 +174,7 @@
     async def _start(self, daemon: DaemonProcess) -> None:
         daemon.process = await start_daemon(daemon.spec, self._folder)
 
-    async def _wait_for_end(self, daemon: DaemonProcess) -> None:
+    async def _wait_for_exit(self, daemon: DaemonProcess) -> None:
         if daemon.process is None:
             return
         with contextlib.suppress(TimeoutError):
@@ -186,32 +186,34 @@
 
     # Faults.
 
-    async def play(self, faults: list[Fault], began: float) -> None:
-        """Carry each fault out at its time, and wait for all to be over."""
-        await asyncio.gather(*(self._play_one(fault, began) for fault in faults))
+    async def inject(self, faults: list[Fault], started_at: float) -> None:
+        """Inject each fault at its start time; wait until all are over."""
+        await asyncio.gather(
+            *(self._inject_fault(fault, started_at) for fault in faults)
+        )
 
-    async def _play_one(self, fault: Fault, began: float) -> None:
-        await asyncio.sleep(max(0.0, began + fault.at - time.monotonic()))
-        apply = self._apply_by_kind.get(fault.kind, self._disturb_proxy)
+    async def _inject_fault(self, fault: Fault, started_at: float) -> None:
+        await asyncio.sleep(max(0.0, started_at + fault.starts_at - time.monotonic()))
+        apply = self._apply_by_kind.get(fault.kind, self._apply_to_proxy)
         await apply(fault)
 
     def _pick_daemon(self, fault: Fault) -> DaemonProcess:
         return self.daemons[fault.target % len(self.daemons)]
 
     def _pick_worker(self, fault: Fault) -> Worker:
-        known = [
+        published = [
             worker
             for worker in self.platform.workers_by_id.values()
             if self.platform.is_published(worker)
         ]
-        return known[fault.target % len(known)]
+        return published[fault.target % len(published)]
 
     async def _kill(self, fault: Fault) -> None:
         daemon = self._pick_daemon(fault)
         async with daemon.lock:
             daemon.signal(signal.SIGKILL)
-            await self._wait_for_end(daemon)
-            await asyncio.sleep(fault.for_s)
+            await self._wait_for_exit(daemon)
+            await asyncio.sleep(fault.duration_s)
             await self._start(daemon)
 
     async def _kill_all(self, fault: Fault) -> None:
@@ -226,14 +228,14 @@
         daemon = self._pick_daemon(fault)
         async with daemon.lock:
             daemon.signal(signal.SIGTERM)
-            await self._wait_for_end(daemon)
+            await self._wait_for_exit(daemon)
             await self._start(daemon)
 
     async def _pause(self, fault: Fault) -> None:
         daemon = self._pick_daemon(fault)
         async with daemon.lock:
             daemon.signal(signal.SIGSTOP)
-            await asyncio.sleep(fault.for_s)
+            await asyncio.sleep(fault.duration_s)
             daemon.signal(signal.SIGCONT)
 
     async def _reload(self, fault: Fault) -> None:
@@ -243,100 +245,100 @@
         daemon.spec.write_settings(self._folder)
         daemon.signal(signal.SIGHUP)
 
-    async def _refuse_at_store(self, fault: Fault) -> None:
+    async def _make_store_unavailable(self, fault: Fault) -> None:
         self.platform.store.refuse = 503
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         self.platform.store.refuse = 0
 
-    async def _forget_at_store(self, fault: Fault) -> None:
+    async def _clear_store_history(self, fault: Fault) -> None:
         self.platform.store.forget_history()
 
-    async def _misbehave(self, fault: Fault) -> None:
+    async def _inject_endpoint_errors(self, fault: Fault) -> None:
         names = {
             FaultKind.ENDPOINT_FAILS: "fail",
             FaultKind.ENDPOINT_SHEDS: "shed",
             FaultKind.ENDPOINT_BREAKS: "cut",
         }
         worker = self._pick_worker(fault)
-        worker.control({names[fault.kind]: FAULTS_AT_ENDPOINT})
+        worker.control({names[fault.kind]: ENDPOINT_ERRORS_PER_FAULT})
 
-    async def _leave(self, fault: Fault) -> None:
-        """Replace an endpoint as planned: the new one comes first."""
+    async def _drain_endpoint(self, fault: Fault) -> None:
+        """Add a replacement endpoint, then drain and remove the old one."""
         worker = self._pick_worker(fault)
         zone = ZONES[fault.target % len(ZONES)]
         await self.add_worker(worker.service, zone)
-        await asyncio.sleep(LAPSE_S)
+        await asyncio.sleep(PLATFORM_DELAY_S)
         if not self.platform.is_published(worker):
             return
         self.platform.publish_state(worker, "draining")
-        self.leavings.append(Leaving(worker.id, time.monotonic()))
-        await asyncio.sleep(LEAVE_S)
+        self.drains.append(Drain(worker.id, time.monotonic()))
+        await asyncio.sleep(DRAIN_S)
         self.platform.remove(worker)
-        await asyncio.sleep(LEAVE_S)
+        await asyncio.sleep(DRAIN_S)
         await self.platform.stop_worker(worker)
 
-    async def _crash(self, fault: Fault) -> None:
+    async def _crash_endpoint(self, fault: Fault) -> None:
         worker = self._pick_worker(fault)
         proxy = self._proxies_by_worker[worker.id]
         await self.platform.stop_worker(worker)
-        proxy.reset_open()
-        await asyncio.sleep(LAPSE_S)
+        proxy.reset_connections()
+        await asyncio.sleep(PLATFORM_DELAY_S)
         self.platform.remove(worker)
         await self.add_worker(worker.service, ZONES[fault.target % len(ZONES)])
 
-    async def _restart(self, fault: Fault) -> None:
-        """Let an endpoint come back under its id, its late entry last."""
+    async def _restart_endpoint(self, fault: Fault) -> None:
+        """Restart an endpoint under its id, then publish a stale entry."""
         worker = self._pick_worker(fault)
         born = worker.born
         worker.restart()
-        self._proxies_by_worker[worker.id].reset_open()
+        self._proxies_by_worker[worker.id].reset_connections()
         self.platform.publish_state(worker, "ready")
         born, worker.born = worker.born, born
         self.platform.publish_state(worker, "ready")
         worker.born = born
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         if self.platform.is_published(worker):
             self.platform.publish_state(worker, "ready")
 
     async def _write_foreign_entry(self, fault: Fault) -> None:
-        """Write what names no endpoint, and take it away again."""
+        """Write an invalid entry to the store, then remove it."""
         key = f"servers/foreign-{fault.target}"
         self.platform.store.put_bytes(key, FOREIGN_BYTES[fault.target % 3])
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         if key in self.platform.store.items_by_key:
             self.platform.store.put(key, None)
 
-    async def _configure(self, fault: Fault) -> None:
+    async def _change_configuration(self, fault: Fault) -> None:
         self.version += 1
         self.publish_configuration()
 
-    async def _take_key(self, fault: Fault) -> None:
-        self.accounts.take(fault.target)
+    async def _revoke_key(self, fault: Fault) -> None:
+        self.accounts.revoke(fault.target)
         self.version += 1
         self.publish_configuration()
 
-    async def _name_version(self, fault: Fault) -> None:
+    async def _publish_adapter_version(self, fault: Fault) -> None:
         adapter = f"a{fault.target % 10 + 1}"
         version = self.adapter_versions.get(adapter, 1) + 1
         self.adapter_versions[adapter] = version
         self.platform.publish_version(adapter, version)
 
-    async def _disturb_proxy(self, fault: Fault) -> None:
-        place, _, how = fault.kind.partition("_")
-        if place == "endpoint":
+    async def _apply_to_proxy(self, fault: Fault) -> None:
+        component, _, effect = fault.kind.partition("_")
+        if component == "endpoint":
             proxy = self._proxies_by_worker[self._pick_worker(fault).id]
         else:
             daemon = self._pick_daemon(fault)
-            proxy = daemon.peers if place == "peers" else daemon.store
-        if how == "silent":
-            proxy.silence_open()
+            proxy = daemon.peers if component == "peers" else daemon.store
+        if effect == "silent":
+            proxy.stall_connections()
             return
-        if how == "reset":
-            proxy.reset_open()
+        if effect == "reset":
+            proxy.reset_connections()
             return
-        if how == "delay":
+        if effect == "delay":
             proxy.delay_s = DELAY_S
         else:
-            proxy.cut(one_way=how == "one_way")
-        await asyncio.sleep(fault.for_s)
+            proxy.partition(one_way=effect == "one_way")
+        await asyncio.sleep(fault.duration_s)
         proxy.heal()
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the soak, and its runs."""
+"""Tests of the soak checks, and soak runs."""
