--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: the path, the policy and the capacity."""
+"""Measurements, the soak, fuzzing and guard checks."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -8,7 +8,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Hand the options to ``main`` of the named module."""
+    """Run ``main`` of the named module with the options."""
     name = arguments[0] if arguments else ""
     if not name.isidentifier() or importlib.util.find_spec(f"bench.{name}") is None:
         print(f"no such measurement: {name!r}", file=sys.stderr)
--- a/bench/capacity/measure.py
+++ b/bench/capacity/measure.py
@@ -14,7 +14,7 @@
 from bench.capacity.timing import Line, fit
 from bench.capacity.tree import TreeCost
 from bench.capacity.wires import WireCost, measure_wires
-from bench.path.load import LoadOrder, LoadResult
+from bench.path.load import LoadResult, LoadSpec
 from bench.path.world import Usage, World, cancel_on_sigterm, open_world
 from fescuekeel.components.tree.model import Pool, PoolKind
 from standins.fleet import Daemon, Fleet
@@ -176,7 +176,7 @@
     async with open_world() as world:
         quiet = read_memory(world)
         before = world.read_usage()
-        order = LoadOrder(
+        order = LoadSpec(
             address=world.entry.callers,
             callers=REQUEST_CALLERS,
             seconds=LOAD_S,
--- a/bench/guards.py
+++ b/bench/guards.py
@@ -1,4 +1,4 @@
-"""Take each guard out of a copy of the code and see which test notices."""
+"""Remove each guard from a copy of the code; check that its test fails."""
 
 import asyncio
 import configparser
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """One guard: the text that is the guard, and what stands in its place."""
+    """One guard: its source text, the replacement and the covering test."""
 
     name: str
     file: str
@@ -31,28 +31,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What the test said with the guard in place and without it."""
+    """Results of the test with the guard and without it."""
 
     guard: Guard
-    passes_with: bool
-    fails_without: bool
+    passes_with_guard: bool
+    fails_without_guard: bool
     line: str
 
     @property
     def noticed(self) -> bool:
-        """Tell whether the test tells the two apart."""
-        return self.passes_with and self.fails_without
+        """Return whether the test fails only without the guard."""
+        return self.passes_with_guard and self.fails_without_guard
 
 
 def read_guards(path: Path = GUARDS_FILE) -> list[Guard]:
-    """Read the list; each guard's text must stand once in its file."""
+    """Read the guards; the text of each must occur once in its file."""
     parser = configparser.ConfigParser(interpolation=None, default_section="")
     parser.read_string(path.read_text("utf-8"))
     guards = [Guard(name, **dict(parser[name])) for name in parser.sections()]
     for guard in guards:
         found = (ROOT / guard.file).read_text("utf-8").count(guard.take_out)
         if found != 1:
-            raise ValueError(f"{guard.name}: text stands {found} times, not once")
+            raise ValueError(f"{guard.name}: text occurs {found} times, expected once")
     return guards
 
 
@@ -87,7 +87,7 @@
     except TimeoutError:
         process.kill()
         await process.wait()
-        return False, "the test did not end in time"
+        return False, "the test timed out"
     lines = output.decode(errors="replace").strip().splitlines()
     errors = [line for line in lines if "Error" in line or line.startswith("FAILED")]
     return process.returncode == 0, (errors or lines or [""])[0]
@@ -98,15 +98,15 @@
         with tempfile.TemporaryDirectory(prefix="guard-") as folder:
             tree = Path(folder)
             await asyncio.to_thread(_copy_tree, tree)
-            passes_with, line = await _run_test(tree, guard.test)
-            if not passes_with:
+            passes_with_guard, line = await _run_test(tree, guard.test)
+            if not passes_with_guard:
                 return Verdict(guard, False, False, line)
             changed = tree / guard.file
             text = changed.read_text("utf-8")
             changed.write_text(text.replace(guard.take_out, guard.put_in), "utf-8")
-            passes_without, line = await _run_test(tree, guard.test)
+            passes_without_guard, line = await _run_test(tree, guard.test)
             line = line.replace(str(tree), "")
-            return Verdict(guard, True, not passes_without, line)
+            return Verdict(guard, True, not passes_without_guard, line)
 
 
 async def _check_all(guards: list[Guard]) -> list[Verdict]:
@@ -115,12 +115,12 @@
 
 
 def main(wanted: str = "") -> int:
-    """Check guards whose name contains ``wanted``; 0 if all are noticed."""
+    """Check guards whose name contains ``wanted``; return 0 if all pass."""
     guards = [guard for guard in read_guards() if wanted in guard.name]
     verdicts = asyncio.run(_check_all(guards))
     for verdict in verdicts:
         state = "noticed" if verdict.noticed else "NOT NOTICED"
-        if not verdict.passes_with:
+        if not verdict.passes_with_guard:
             state = "FAILS WITH THE GUARD IN PLACE"
         print(f"{state}: {verdict.guard.name}")
         print(f"    {verdict.guard.test}")
--- a/bench/path/__init__.py
+++ b/bench/path/__init__.py
@@ -1,4 +1,4 @@
-"""Measure what the path adds to a request: ``script/bench path``."""
+"""Measure the overhead of the request path: ``script/bench path``."""
 
 from bench.path.command import main
 
--- a/bench/path/const.py
+++ b/bench/path/const.py
@@ -1,14 +1,14 @@
-"""Constants of the measurement of the path."""
+"""Constants of the path measurement."""
 
 import hashlib
 from typing import Final
 
 LOOPBACK: Final = "127.0.0.1"
 DEPLOYMENT: Final = "bench"
-# All endpoints stand in the second data centre, so that the entry instance is
-# never the owner and each does its part in a process of its own.
-ENTRY_CENTRE: Final = "entry"
-OWNER_CENTRE: Final = "owner"
+# All endpoints are in the second data centre, so that the entry instance and
+# the owner are always different processes.
+ENTRY_DATA_CENTRE: Final = "entry"
+OWNER_DATA_CENTRE: Final = "owner"
 
 SHOP_TOKEN: Final = "token-of-the-bench"
 MODEL: Final = "write/a{number}"
@@ -39,7 +39,7 @@
 """
 
 PAIR_TOKENS: Final = 8
-PAIR_LANES: Final = 4
+PAIR_WORKERS: Final = 4
 WARM_UP_S: Final = 3.0
 LOAD_PROCESSES: Final = 3
 PAIRS_S: Final = 12.0
--- a/bench/path/engine.py
+++ b/bench/path/engine.py
@@ -1,4 +1,4 @@
-"""One stand-in engine as a process: ``python -m bench.path.engine FILE``."""
+"""Run one stand-in engine: ``python -m bench.path.engine FILE``."""
 
 import asyncio
 import signal
@@ -13,7 +13,7 @@
 
 
 async def run(address_file: Path) -> None:
-    """Serve until a signal; the address is written once it is bound."""
+    """Serve until SIGTERM; write the address to the file once bound."""
     stopping = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopping.set)
     settings = EngineSettings(
@@ -31,7 +31,7 @@
 
 
 def main() -> None:
-    """Read the command line."""
+    """Parse the command line and run the engine."""
     asyncio.run(run(Path(sys.argv[1])))
 
 
--- a/bench/path/generate.py
+++ b/bench/path/generate.py
@@ -1,21 +1,21 @@
-"""One load generator as a process: ``python -m bench.path.generate``.
+"""Run one load generator: ``python -m bench.path.generate``.
 
-It reads a ``LoadOrder`` as JSON from standard input and writes a
+It reads a ``LoadSpec`` as JSON from standard input and writes a
 ``LoadResult`` as JSON to standard output.
 """
 
 import asyncio
 import sys
 
-from bench.path.load import Generator, LoadOrder
+from bench.path.load import LoadGenerator, LoadSpec
 
 __all__ = ["main"]
 
 
 def main() -> None:
-    """Run the order of standard input."""
-    order = LoadOrder.model_validate_json(sys.stdin.read())
-    result = asyncio.run(Generator(order).run())
+    """Run the load given on standard input."""
+    spec = LoadSpec.model_validate_json(sys.stdin.read())
+    result = asyncio.run(LoadGenerator(spec).run())
     sys.stdout.write(result.model_dump_json())
 
 
--- a/bench/path/world.py
+++ b/bench/path/world.py
@@ -1,4 +1,4 @@
-"""The processes of the measurement: engines, an entry and an owner."""
+"""Processes of the measurement: engines, an entry and an owner."""
 
 import asyncio
 import signal
@@ -18,28 +18,28 @@
     DEPLOYMENT,
     ENDPOINT,
     ENGINES,
-    ENTRY_CENTRE,
+    ENTRY_DATA_CENTRE,
     MODEL,
-    OWNER_CENTRE,
+    OWNER_DATA_CENTRE,
     TREE,
     WARM_UP_S,
 )
-from bench.path.load import OK, LoadOrder, LoadResult
+from bench.path.load import OK, LoadResult, LoadSpec
 from standins.fleet import Daemon, Fleet
 from standins.live_list import Entry
 from standins.platform import Platform
 
 __all__ = ["Usage", "World", "cancel_on_sigterm", "open_world"]
 
-READY_TRIES = 200
-READY_PAUSE_S = 0.1
+READY_ATTEMPTS = 200
+READY_POLL_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
     """Processor time of the two instances in seconds.
 
-    ``system_s`` is the part of both that the kernel used.
+    ``system_s`` is the time both spent in the kernel.
     """
 
     entry_s: float
@@ -47,7 +47,7 @@
     system_s: float
 
     def minus(self, earlier: "Usage") -> "Usage":
-        """Return what was used since."""
+        """Return the usage since an earlier one."""
         return Usage(
             self.entry_s - earlier.entry_s,
             self.owner_s - earlier.owner_s,
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class World:
-    """What is measured: addresses and processes."""
+    """Processes and addresses of the measurement."""
 
     fleet: Fleet
     engine_addresses: list[str]
@@ -70,19 +70,19 @@
         system_s = entry.system + owner.system
         return Usage(sum(entry[:2]), sum(owner[:2]), system_s)
 
-    async def run_load(self, order: LoadOrder, processes: int) -> list[LoadResult]:
-        """Run an order's share in each of several processes."""
-        share = order.model_copy(
+    async def run_load(self, spec: LoadSpec, processes: int) -> list[LoadResult]:
+        """Split a load evenly over several processes and run it."""
+        share = spec.model_copy(
             update={
-                "callers": order.callers // processes,
-                "rate_per_s": order.rate_per_s / processes,
+                "callers": spec.callers // processes,
+                "rate_per_s": spec.rate_per_s / processes,
             }
         )
         return list(
             await asyncio.gather(*(self._run_share(share) for _ in range(processes)))
         )
 
-    async def _run_share(self, order: LoadOrder) -> LoadResult:
+    async def _run_share(self, spec: LoadSpec) -> LoadResult:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -90,7 +90,7 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
         )
-        output, _ = await process.communicate(order.model_dump_json().encode())
+        output, _ = await process.communicate(spec.model_dump_json().encode())
         return LoadResult.model_validate_json(output)
 
 
@@ -99,7 +99,7 @@
 
 
 def cancel_on_sigterm() -> None:
-    """End in order when told to, so that no process is left behind."""
+    """Cancel this task on SIGTERM, so that child processes are stopped."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -107,11 +107,11 @@
 
 @asynccontextmanager
 async def open_world() -> AsyncIterator[World]:
-    """Start everything, wait until it answers, and end it."""
+    """Start all processes, wait until they serve, and stop them at the end."""
     cancel_on_sigterm()
     with TemporaryDirectory(prefix="bench-path-") as name:
         fleet = Fleet(Path(name))
-        platform = await Platform.start((ENTRY_CENTRE, OWNER_CENTRE))
+        platform = await Platform.start((ENTRY_DATA_CENTRE, OWNER_DATA_CENTRE))
         names = "\n    ".join(f"a{number} 1" for number in range(ADAPTERS))
         platform.publish(1, {"main": TREE.format(names=names).encode()})
         try:
@@ -125,9 +125,9 @@
     addresses = await _start_engines(fleet, folder)
     for number, address in enumerate(addresses):
         id = ENDPOINT.format(number=number)
-        platform.live.set(Entry(id, "endpoint", address, OWNER_CENTRE, pool="gpu"))
+        platform.live.set(Entry(id, "endpoint", address, OWNER_DATA_CENTRE, pool="gpu"))
     fleet.ports_by_deployment[DEPLOYMENT] = {
-        "data_centres": [ENTRY_CENTRE, OWNER_CENTRE],
+        "data_centres": [ENTRY_DATA_CENTRE, OWNER_DATA_CENTRE],
         "config_url": platform.config_server.url,
         "live_url": platform.live_server.url,
     }
@@ -143,31 +143,31 @@
         await fleet.start_process(
             file.with_suffix(".log"), sys.executable, "-m", "bench.path.engine", file
         )
-    for _ in range(READY_TRIES):
+    for _ in range(READY_ATTEMPTS):
         if all(file.exists() for file in files):
             return [file.read_text("utf-8") for file in files]
-        await asyncio.sleep(READY_PAUSE_S)
-    raise TimeoutError("the engines do not start")
+        await asyncio.sleep(READY_POLL_S)
+    raise TimeoutError("the engines did not start in time")
 
 
 async def _wait_until_warm(address: str) -> None:
-    """Ask for every adapter until all are answered at once."""
-    for _ in range(READY_TRIES):
+    """Send requests for all adapters until every one succeeds."""
+    for _ in range(READY_ATTEMPTS):
         try:
-            if all([await _answers(address, number) for number in range(ADAPTERS)]):
+            if all([await _is_serving(address, number) for number in range(ADAPTERS)]):
                 await asyncio.sleep(WARM_UP_S)
                 return
         except OSError:
             pass
-        await asyncio.sleep(READY_PAUSE_S)
-    raise TimeoutError("the instances do not answer")
+        await asyncio.sleep(READY_POLL_S)
+    raise TimeoutError("the instances did not serve all adapters in time")
 
 
-async def _answers(address: str, number: int) -> bool:
+async def _is_serving(address: str, number: int) -> bool:
     caller = Caller(address)
     await caller.open()
     try:
         body = make_body(MODEL.format(number=number), "warm", 1, stream=False)
-        return (await caller.ask(body)).status == OK
+        return (await caller.complete(body)).status == OK
     finally:
         caller.close()
--- a/bench/wakeups/__init__.py
+++ b/bench/wakeups/__init__.py
@@ -1,4 +1,4 @@
-"""Wake-ups and processor time of an idle instance, by cause."""
+"""Wake-ups and processor time of an idle instance, by callback."""
 
 from bench.wakeups.command import main
 
--- a/bench/wakeups/command.py
+++ b/bench/wakeups/command.py
@@ -1,4 +1,4 @@
-"""Start a small fleet, let it idle, and show what wakes one instance."""
+"""Start a small idle fleet and print the wake-ups of one instance."""
 
 import asyncio
 import json
@@ -17,11 +17,11 @@
 __all__ = ["main"]
 
 SETTLE_S = 6.0
-CAUSES_SHOWN = 24
+SHOWN_CALLBACKS = 24
 
 
 async def measure(instances: int, seconds: float, folder: Path) -> dict[str, Any]:
-    """Return the counts of the last of the instances started."""
+    """Return the counts of the last instance."""
     platform = StandInPlatform()
     platform.start()
     free = iter(free_addresses(4 * instances))
@@ -44,18 +44,18 @@
             if number < instances - 1:
                 processes.append(await start_daemon(spec, folder))
         settings = spec.write_settings(folder)
-        target = folder / "counts.json"
+        counts_file = folder / "counts.json"
         measured = await asyncio.create_subprocess_exec(
             sys.executable,
             *("-m", "bench.wakeups.measured"),
-            *(str(settings), str(target), str(SETTLE_S)),
+            *(str(settings), str(counts_file), str(SETTLE_S)),
             stdout=asyncio.subprocess.DEVNULL,
         )
         processes.append(measured)
         await asyncio.sleep(SETTLE_S + seconds)
         measured.send_signal(signal.SIGTERM)
         await measured.wait()
-        counts: dict[str, Any] = json.loads(target.read_text("utf-8"))
+        counts: dict[str, Any] = json.loads(counts_file.read_text("utf-8"))
         return counts
     finally:
         for process in processes:
@@ -66,23 +66,26 @@
 
 
 def show(instances: int = 9, seconds: float = 10.0) -> None:
-    """Count the wake-ups of one of INSTANCES idle ones for some SECONDS."""
+    """Count the wake-ups of one of INSTANCES idle instances for SECONDS."""
     with tempfile.TemporaryDirectory() as folder:
         counts = asyncio.run(measure(instances, seconds, Path(folder)))
-    span = counts["seconds"]
-    by_calls = sorted(counts["calls"].items(), key=lambda item: -item[1])
+    duration_s = counts["seconds"]
+    sorted_calls = sorted(counts["calls"].items(), key=lambda item: -item[1])
     print("calls/s  cpu s/s  callback")
-    for name, calls in by_calls[:CAUSES_SHOWN]:
-        print(f"{calls / span:7.2f}  {counts['cpu_by_cause'][name] / span:.5f}  {name}")
+    for name, calls in sorted_calls[:SHOWN_CALLBACKS]:
+        print(
+            f"{calls / duration_s:7.2f}"
+            f"  {counts['cpu_by_cause'][name] / duration_s:.5f}  {name}"
+        )
     print(
-        f"instances={instances} seconds={span:.1f}"
-        f" wakeups_per_s={counts['wakeups'] / span:.1f}"
-        f" callbacks_per_s={sum(counts['calls'].values()) / span:.1f}"
-        f" cpu_share={counts['cpu_s'] / span:.4f}"
+        f"instances={instances} seconds={duration_s:.1f}"
+        f" wakeups_per_s={counts['wakeups'] / duration_s:.1f}"
+        f" callbacks_per_s={sum(counts['calls'].values()) / duration_s:.1f}"
+        f" cpu_share={counts['cpu_s'] / duration_s:.4f}"
     )
 
 
 def main(arguments: list[str]) -> int:
-    """Read the command line."""
+    """Parse the command line and run the measurement."""
     fire.Fire(show, arguments, name="wakeups")
     return 0
--- a/tests/bench/test_path.py
+++ b/tests/bench/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of the caller that the bench of the path measures with."""
+"""Tests of the caller of the path measurement."""
 
 import asyncio
 
@@ -8,14 +8,14 @@
 from standins.engine_http import start_engine
 
 
-async def ask_engine(stream, tokens):
+async def request_completions(stream, tokens):
     engine, server = await start_engine()
     engine.control({"loaded": ["a@1"]})
     caller = Caller(server.address)
     await caller.open()
     try:
-        bodies = [make_body("a@1", text, tokens, stream) for text in ("x", "y")]
-        return [await caller.ask(body) for body in bodies]
+        bodies = [make_body("a@1", prompt, tokens, stream) for prompt in ("x", "y")]
+        return [await caller.complete(body) for body in bodies]
     finally:
         caller.close()
         engine.stop()
@@ -24,23 +24,20 @@
 
 class TestCaller:
     @pytest.mark.parametrize("tokens", [1, 5])
-    def test_each_token_of_a_stream_is_timed(self, tokens):
-        for answer in asyncio.run(ask_engine(True, tokens)):
-            assert answer.status == 200
-            assert len(answer.arrivals) == tokens
-            assert answer.began <= answer.arrivals[0] <= answer.ended
-            assert len(answer.gaps_s) == tokens - 1
+    def test_every_streamed_token_has_an_arrival_time(self, tokens):
+        for response in asyncio.run(request_completions(True, tokens)):
+            assert response.status == 200
+            assert len(response.arrivals) == tokens
+            assert response.started_at <= response.arrivals[0] <= response.ended_at
+            assert len(response.gaps_s) == tokens - 1
 
-    def test_a_whole_answer_ends_with_its_length(self):
-        for answer in asyncio.run(ask_engine(False, 3)):
-            assert answer.body.endswith(b"}")
-            assert answer.arrivals == []
+    def test_whole_response_is_read_to_its_content_length(self):
+        for response in asyncio.run(request_completions(False, 3)):
+            assert response.body.endswith(b"}")
+            assert response.arrivals == []
 
-    def test_an_answer_that_breaks_off_is_no_answer(self):
-        """An engine restarts while the bench counts its tokens.
-
-        Its half answer would count as a fast one.
-        """
+    def test_truncated_response_raises(self):
+        """A truncated response must not be counted as a fast one."""
 
         async def run():
             engine, server = await start_engine()
@@ -49,7 +46,7 @@
             await caller.open()
             asyncio.get_running_loop().call_later(0.1, engine.restart)
             try:
-                await caller.ask(make_body("a@1", "x", 10_000, True))
+                await caller.complete(make_body("a@1", "x", 10_000, True))
             finally:
                 engine.stop()
                 await server.stop()
