--- a/bench/capacity/command.py
+++ b/bench/capacity/command.py
@@ -1,4 +1,4 @@
-"""The command: measure, print the tables, and write them into the page."""
+"""Measure, print the tables and write them into the capacity page."""
 
 import asyncio
 import sys
@@ -6,9 +6,9 @@
 
 import fire
 
-from bench.capacity import const as size
+from bench.capacity import const as target
 from bench.capacity.estimate import Row, list_calls, list_losses, list_rows
-from bench.capacity.measure import Measured, measure
+from bench.capacity.measure import Measurements, measure
 
 __all__ = ["main"]
 
@@ -17,8 +17,8 @@
 END = "<!-- capacity: end -->"
 
 
-def tell(met: bool) -> str:
-    """Return the word for a goal."""
+def format_goal(met: bool) -> str:
+    """Return whether a goal is met, as text for the page."""
     return "met" if met else "**not met**"
 
 
@@ -36,16 +36,16 @@
     return lines
 
 
-def format_budget(found: Measured, rows: list[Row]) -> list[str]:
-    """Return control's own share beside what a node may spend."""
+def format_budget(measured: Measurements, rows: list[Row]) -> list[str]:
+    """Return the cost of the control plane beside its budget."""
     control = [row for row in rows if row.control]
     core = sum(row.core for row in control)
-    idle_core = found.fleet.core - 2 * found.fleet.core_per_endpoint
+    idle_core = measured.fleet.core - 2 * measured.fleet.core_per_endpoint
     core += idle_core
     mb = sum(row.mb for row in control)
     bytes_per_s = sum(row.bytes_per_s for row in control)
-    usual = sum(row.bytes_per_s for row in control if not row.soft_leader)
-    steps = found.memory_mb_by_step
+    usual_bytes_per_s = sum(row.bytes_per_s for row in control if not row.soft_leader)
+    steps = measured.memory_mb_by_step
     whole = steps["components"] + mb
     named = {"interpreter", "libraries", "components"}
     largest = sorted(steps.keys() - named, key=steps.__getitem__, reverse=True)[:4]
@@ -53,32 +53,33 @@
     return [
         "| control of one node | worked out | may spend | |",
         "|---|---|---|---|",
-        f"| processor time | {core:.2%} of a core | {size.BUDGET_CORE:.1%} |"
-        f" {tell(core <= size.BUDGET_CORE)} |",
-        f"| memory, state alone | {mb:.1f} MB | {size.BUDGET_MB} MB |"
-        f" {tell(mb <= size.BUDGET_MB)} |",
-        f"| memory, whole process | {whole:.1f} MB | {size.BUDGET_MB} MB |"
-        f" {tell(whole <= size.BUDGET_MB)} |",
-        f"| bytes a second, both ways | {usual:,.0f} | {size.BUDGET_BYTES_PER_S:,} |"
-        f" {tell(usual <= size.BUDGET_BYTES_PER_S)} |",
+        f"| processor time | {core:.2%} of a core | {target.BUDGET_CORE:.1%} |"
+        f" {format_goal(core <= target.BUDGET_CORE)} |",
+        f"| memory, state alone | {mb:.1f} MB | {target.BUDGET_MB} MB |"
+        f" {format_goal(mb <= target.BUDGET_MB)} |",
+        f"| memory, whole process | {whole:.1f} MB | {target.BUDGET_MB} MB |"
+        f" {format_goal(whole <= target.BUDGET_MB)} |",
+        f"| bytes a second, both ways | {usual_bytes_per_s:,.0f} |"
+        f" {target.BUDGET_BYTES_PER_S:,} |"
+        f" {format_goal(usual_bytes_per_s <= target.BUDGET_BYTES_PER_S)} |",
         f"| the same where load turns are led | {bytes_per_s:,.0f} |"
-        f" {size.BUDGET_BYTES_PER_S:,} |"
-        f" {tell(bytes_per_s <= size.BUDGET_BYTES_PER_S)} |",
+        f" {target.BUDGET_BYTES_PER_S:,} |"
+        f" {format_goal(bytes_per_s <= target.BUDGET_BYTES_PER_S)} |",
         "",
         f"Memory by step: interpreter {steps['interpreter']:.1f} MB, with the"
         f" libraries {steps['libraries']:.1f} MB (most: {names}), with the system's own"
-        f" code {steps['components']:.1f} MB; an idle daemon {found.fleet.mb:.1f} MB,"
-        f" and {found.fleet.mb_per_member:.2f} MB a member while connections to all"
+        f" code {steps['components']:.1f} MB; an idle daemon"
+        f" {measured.fleet.mb:.1f} MB, and {measured.fleet.mb_per_member:.2f} MB a member while connections to all"
         " are open. The idle daemon's"
         f" {idle_core:.2%} of a core (timers and polls, without its two endpoints)"
         f" is counted in; in the measured fleet of up to 16 a member added"
-        f" {found.fleet.core_per_member:.3%}. The node is one that leads the load"
+        f" {measured.fleet.core_per_member:.3%}. The node is one that leads the load"
         " turns.",
     ]
 
 
-def format_losses(found: Measured) -> list[str]:
-    """Return the table of losses."""
+def format_losses(measured: Measurements) -> list[str]:
+    """Return the table of node losses."""
     lines = [
         "| lost | nodes | news passed on for | B/s meanwhile | core seconds of views |",
         "|---|---|---|---|---|",
@@ -86,41 +87,41 @@
     lines += [
         f"| {loss.what} | {loss.nodes} | {loss.drain_s:.0f} s |"
         f" {loss.bytes_per_s:,.0f} | {loss.core_s:.1f} |"
-        for loss in list_losses(found)
+        for loss in list_losses(measured)
     ]
     return lines
 
 
-def format_slopes(found: Measured) -> list[str]:
-    """Return what was measured."""
-    members, fleet, path = found.members, found.fleet, found.path
+def format_slopes(measured: Measurements) -> list[str]:
+    """Return the list of measured costs."""
+    members, fleet, path = measured.members, measured.fleet, measured.path
     lines = ["Slopes measured in this run:", ""]
     lines += [
         f"- tree: {cost.adapters:,} adapters take {cost.held_mb:.1f} MB held,"
         f" {cost.peak_mb:.1f} MB after a change, {cost.build_s:.2f} s to build,"
         f" {cost.change_s:.3f} s for a change of one part"
-        for cost in found.trees
+        for cost in measured.trees
     ]
     lines += [
         f"- membership: {members.core.base:.3%} of a core and"
         f" {members.core.slope * 100:.3%} each 100 members;"
         f" {members.kilobytes.slope:.2f} KB a member",
-        f"- live list: {found.live.size:,} B, {found.live.parse_s * 1e3:.1f} ms to"
-        " parse",
-        f"- routing a request over {size.WORKERS} endpoints and {size.NODES}"
-        f" instances: {found.route_s * 1e6:.0f} us, or"
-        f" {found.route_again_s * 1e6:.0f} us"
+        f"- live list: {measured.live.size:,} B,"
+        f" {measured.live.parse_s * 1e3:.1f} ms to parse",
+        f"- routing a request over {target.WORKERS} endpoints and {target.NODES}"
+        f" instances: {measured.route_s * 1e6:.0f} us, or"
+        f" {measured.route_again_s * 1e6:.0f} us"
         " for an adapter seen a short time ago; owners after a changed view:"
-        f" {found.view_s * 1e3:.2f} ms",
-        f"- a claim: {found.claim_bytes:.0f} B, {found.claim_s * 1e6:.1f} us",
-        f"- an ask for a load turn: {found.turn_s.base * 1e6:.1f} us and"
-        f" {found.turn_s.slope * 1e6:.2f} us for each that waits",
+        f" {measured.view_s * 1e3:.2f} ms",
+        f"- a claim: {measured.claim_bytes:.0f} B, {measured.claim_s * 1e6:.1f} us",
+        f"- an ask for a load turn: {measured.turn_s.base * 1e6:.1f} us and"
+        f" {measured.turn_s.slope * 1e6:.2f} us for each that waits",
         f"- an owned idle endpoint: {fleet.core_per_endpoint:.3%} of a core,"
         f" {fleet.mb_per_endpoint:.2f} MB",
         f"- a connection between peers opened and closed:"
-        f" {found.wires.opening_s * 1e3:.2f} ms for both sides; an endpoint's report"
-        f" {found.wires.report_bytes:,} B and {found.wires.exchange_bytes:,} B around"
-        " it",
+        f" {measured.wires.opening_s * 1e3:.2f} ms for both sides; an endpoint's report"
+        f" {measured.wires.report_bytes:,} B and "
+        f"{measured.wires.exchange_bytes:,} B around it",
         f"- a request: {path.entry_request_s * 1e3:.2f} ms at the entry and"
         f" {path.owner_request_s * 1e3:.2f} ms at the owner; a token"
         f" {path.entry_token_s * 1e6:.0f} and {path.owner_token_s * 1e6:.0f} us; an"
@@ -129,9 +130,9 @@
     return lines
 
 
-def format_page(found: Measured) -> list[str]:
-    """Return the part of the page that this program writes."""
-    rows = list_rows(found)
+def format_page(measured: Measurements) -> list[str]:
+    """Return the generated section of the page."""
+    rows = list_rows(measured)
     calls = [
         "| nodes in data centres | watches/s | polls/s | configuration calls/s |"
         " live list polls/s | store loads/s |",
@@ -140,16 +141,16 @@
     ]
     sections = [
         format_rows(rows),
-        format_budget(found, rows),
-        format_losses(found),
+        format_budget(measured, rows),
+        format_losses(measured),
         calls,
-        format_slopes(found),
+        format_slopes(measured),
     ]
     return [line for section in sections for line in [*section, ""]]
 
 
 def write_page(lines: list[str]) -> None:
-    """Replace the page's own part between its marks."""
+    """Replace the generated section of the page."""
     head, _, rest = PAGE.read_text("utf-8").partition(BEGIN)
     _, _, tail = rest.partition(END)
     block = "\n".join([BEGIN, "", *lines, END])
@@ -157,7 +158,7 @@
 
 
 def start(write: bool = False) -> None:
-    """Measure, print the tables, and with --write put them into the page."""
+    """Measure, print the tables and, with --write, update the page."""
     lines = format_page(asyncio.run(measure()))
     sys.stdout.write("\n".join(lines) + "\n")
     if write:
@@ -165,6 +166,6 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Read the command line."""
+    """Parse the command line and run the measurement."""
     fire.Fire(start, command=arguments, name="capacity", serialize=lambda _: None)
     return 0
--- a/bench/capacity/const.py
+++ b/bench/capacity/const.py
@@ -1,4 +1,4 @@
-"""The size that the design is for, and what a node may spend on control."""
+"""Target fleet size, and the budget of a node for the control plane."""
 
 from typing import Final
 
@@ -8,12 +8,12 @@
 REQUESTS_PER_S: Final = 2_800
 TOKENS_PER_S: Final = 870_000
 DATA_CENTRES: Final = 7
-WAKING_SHARE_PER_HOUR: Final = 0.18
+ACTIVATED_SHARE_PER_HOUR: Final = 0.18
 CHANGES_PER_DAY: Final = 610
 FAILURES_PER_DAY: Final = 15
-REPLACED_PER_DAY: Final = 80
+REPLACEMENTS_PER_DAY: Final = 80
 POOLS: Final = 4
-# The letter does not say how many requests bring an idempotency key.
+# Assumed share of requests with an idempotency key.
 KEYED_SHARE: Final = 0.1
 
 NODES_PER_CENTRE: Final = NODES // DATA_CENTRES
@@ -25,7 +25,7 @@
 BUDGET_BYTES_PER_S: Final = 8_000
 SERVICE_CALLS_PER_S: Final = 2_000
 
-# A frame's length, signature and the headers of TCP and IP.
+# Length and signature of a frame; TCP and IP headers of a packet.
 FRAME_BYTES: Final = 36
 PACKET_BYTES: Final = 40
 MB: Final = 1024 * 1024
--- a/bench/capacity/decisions.py
+++ b/bench/capacity/decisions.py
@@ -1,4 +1,4 @@
-"""What the decisions cost as members, endpoints and claims grow."""
+"""Cost of decisions by the number of members, endpoints and claims."""
 
 import gc
 import tracemalloc
@@ -14,8 +14,8 @@
     NODES,
     PACKET_BYTES,
 )
-from bench.capacity.fleet import make_live, make_live_body, make_view
-from bench.capacity.timing import Line, fit, time_call
+from bench.capacity.fleet import format_live_list, make_live_list, make_view
+from bench.capacity.timing import Line, fit_line, time_call
 from fescuekeel.components.gateway.ranks import Ranks
 from fescuekeel.components.gateway.routing import Hints, choose
 from fescuekeel.components.keys.ledger import Ledger
@@ -41,17 +41,17 @@
 )
 
 __all__ = [
-    "LiveCost",
+    "LiveListCost",
     "MemberCost",
+    "get_news_bytes",
+    "get_wire_bytes",
     "make_claim",
     "measure_claims",
-    "measure_live",
+    "measure_live_list",
     "measure_members",
     "measure_routing",
     "measure_turns",
     "measure_view",
-    "news_bytes",
-    "wire_bytes",
 ]
 
 MEMBER_SIZES = (50, 100, 200, NODES)
@@ -59,28 +59,29 @@
 CLAIMS = 20_000
 
 
-def wire_bytes(*bodies: WireMessage) -> int:
-    """Return what messages take on the wire, each alone in its packet."""
+def get_wire_bytes(*bodies: WireMessage) -> int:
+    """Return the bytes on the wire of messages, one packet each."""
     frames = [encode(Envelope(1, 0, body)) for body in bodies]
     return sum(len(frame) + FRAME_BYTES + PACKET_BYTES for frame in frames)
 
 
 def make_news(number: int) -> News:
-    """Return news of one instance."""
+    """Return a membership update about one instance."""
     subject, address = f"instance-{number:04}", f"10.0.{number}.2:7400"
     return News(NewsKind.SUSPECT, subject, 1_700_000_000_000, address, "centre-0")
 
 
-def news_bytes(pieces: int) -> int:
-    """Return the size of a ping with so many pieces of news."""
-    return wire_bytes(Ping(tuple(make_news(number) for number in range(pieces))))
+def get_news_bytes(pieces: int) -> int:
+    """Return the size of a ping with this number of updates."""
+    return get_wire_bytes(Ping(tuple(make_news(number) for number in range(pieces))))
 
 
 @dataclass(frozen=True, slots=True)
 class MemberCost:
-    """What membership costs by the number of members.
+    """Cost of membership by the number of members.
 
-    ``core`` is a share of a core, ``ping_bytes`` the size of a quiet ping.
+    ``core`` is a share of a core, ``ping_bytes`` the size of a ping in a
+    steady cluster.
     """
 
     core: Line
@@ -88,16 +89,16 @@
     ping_bytes: int
 
 
-def drive(members: int) -> tuple[float, int]:
-    """Run a quiet membership; return its share of a core and a ping's size."""
-    live = make_live(members)
+def simulate_membership(members: int) -> tuple[float, int]:
+    """Simulate a steady cluster; return its share of a core and ping size."""
+    live = make_live_list(members)
     own = next(iter(make_view(live).members_by_id.values()))
     membership = Membership(own, Random(1))
     clock = count()
     sizes = []
 
-    def pass_time() -> None:
-        """Do a probe period's work: ticks, a probe, and one from a peer."""
+    def run_probe_period() -> None:
+        """Run one probe period: ticks, a probe, and a ping from a peer."""
         start = next(clock) * PROBE_PERIOD_S
         for tick in range(round(PROBE_PERIOD_S / TICK_S)):
             now = start + tick * TICK_S
@@ -107,30 +108,30 @@
                     sizes.append(len(frame) + FRAME_BYTES + PACKET_BYTES)
                     decode(frame)
                     membership.handle(ProbeAnswered(effect.target, effect.news), now)
-        question = PeerMessage("instance-0001", 1, Ping())
-        membership.handle(Pinged(question, ()), start)
+        request = PeerMessage("instance-0001", 1, Ping())
+        membership.handle(Pinged(request, ()), start)
 
     membership.handle(TreeHeld(7, "0" * 64), 0.0)
     membership.handle(live, 0.0)
     periods = round(SIMULATED_S / PROBE_PERIOD_S)
-    core = time_call(pass_time, periods) / PROBE_PERIOD_S
+    core = time_call(run_probe_period, periods) / PROBE_PERIOD_S
     return core, sorted(sizes)[len(sizes) // 2]
 
 
 def measure_members() -> MemberCost:
-    """Measure a quiet membership at growing sizes."""
-    driven = [drive(size) for size in MEMBER_SIZES]
+    """Measure a steady cluster at several sizes."""
+    results = [simulate_membership(size) for size in MEMBER_SIZES]
     return MemberCost(
-        fit(MEMBER_SIZES, [core for core, _ in driven]),
-        fit(MEMBER_SIZES, [measure_kilobytes(size) for size in MEMBER_SIZES]),
-        driven[-1][1],
+        fit_line(MEMBER_SIZES, [core for core, _ in results]),
+        fit_line(MEMBER_SIZES, [measure_memory_kb(size) for size in MEMBER_SIZES]),
+        results[-1][1],
     )
 
 
-def measure_kilobytes(members: int) -> float:
-    """Return the memory of list, records and view, in KB."""
+def measure_memory_kb(members: int) -> float:
+    """Return the memory of live list, records and view in KB."""
     tracemalloc.start()
-    live = make_live(members)
+    live = make_live_list(members)
     membership = Membership(Member("own", "", "centre-0", 1), Random(1))
     held = live, membership, membership.handle(live, 0.0)
     kilobytes = tracemalloc.get_traced_memory()[0] / 1024
@@ -140,31 +141,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LiveCost:
-    """What one poll of the live list costs at the letter's size."""
+class LiveListCost:
+    """Cost of one poll of the live list at the target size."""
 
     size: int
     parse_s: float
 
 
-def measure_live() -> LiveCost:
-    """Measure one poll of the whole list."""
-    body = make_live_body(make_live(NODES))
-    return LiveCost(len(body), time_call(lambda: parse_live_list(body), 3))
+def measure_live_list() -> LiveListCost:
+    """Measure one poll of the complete live list."""
+    body = format_live_list(make_live_list(NODES))
+    return LiveListCost(len(body), time_call(lambda: parse_live_list(body), 3))
 
 
 def measure_routing(adapters: int) -> float:
     """Return the processor seconds to choose endpoint and owner.
 
-    Few adapters are remembered from one request to the next.
+    With few adapters, rankings are cached between requests.
     """
-    view = make_view(make_live(NODES))
-    hints, ranks, numbers = Hints(), Ranks(), count()
+    view = make_view(make_live_list(NODES))
+    hints, ranks, request_numbers = Hints(), Ranks(), count()
 
     def route() -> None:
         choose(
             "base-0",
-            AdapterRef(f"a{next(numbers) % adapters}", "1"),
+            AdapterRef(f"a{next(request_numbers) % adapters}", "1"),
             "r",
             view.endpoints_by_id,
             view.members_by_id,
@@ -177,44 +178,44 @@
 
 
 def measure_view() -> float:
-    """Return the processor seconds that a changed view costs an owner."""
-    view = make_view(make_live(NODES))
+    """Return the processor seconds of an owner for a changed view."""
+    view = make_view(make_live_list(NODES))
     placement = Placement("instance-0000", "centre-0")
     return time_call(lambda: placement.update(view, (), 0.0), 3)
 
 
 def measure_claims() -> tuple[float, float]:
-    """Return the bytes and the processor seconds of one claim at a home."""
+    """Return the bytes and processor seconds of one claim at a home."""
     process = psutil.Process()
     gc.collect()
     before = process.memory_info().rss
     ledger = Ledger()
     claims = [make_claim(number) for number in range(CLAIMS)]
-    taken = iter(claims)
-    seconds = time_call_once(lambda: ledger.claim(next(taken), 0.0), CLAIMS)
+    remaining_claims = iter(claims)
+    seconds = time_call_once(lambda: ledger.claim(next(remaining_claims), 0.0), CLAIMS)
     frame = encode(Envelope(1, 0, claims[0]))
     seconds += time_call(lambda: decode(frame), 2000)
     return (process.memory_info().rss - before) / CLAIMS, seconds
 
 
 def make_claim(number: int) -> KeyClaim:
-    """Return a claim with texts of usual length."""
+    """Return a claim with keys of typical length."""
     digest = f"{number:032x}"
     return KeyClaim(f"shop/order-{number:016}", digest[:16], digest, 600_000)
 
 
 def time_call_once(call: Callable[[], object], number: int) -> float:
-    """Time calls that can't be repeated."""
+    """Time calls that consume their input."""
     return time_call(call, number // 5)
 
 
 def measure_turns(waiting: int) -> float:
-    """Return the processor seconds of an ask while so many others wait."""
+    """Return the processor seconds of a request with others waiting."""
     table = TurnTable()
-    numbers = count(1)
+    request_numbers = count(1)
 
     def ask() -> None:
-        number = next(numbers)
+        number = next(request_numbers)
         ref = AdapterRef(f"a{number % waiting}", "1")
         body = TurnAsk(f"worker-{number % waiting:04}", ref, 1.0, 1)
         table.ask(PeerMessage("instance-0001", number, body), number * 1e-4)
--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -1,15 +1,15 @@
-"""A fleet as the decisions see it, with no process behind it."""
+"""Synthetic live lists and member views, without processes."""
 
 import json
 
 from bench.capacity.const import DATA_CENTRES, POOLS, WORKERS
 from fescuekeel.messages import LiveEntry, LiveList, LiveRole, Member, MemberView
 
-__all__ = ["make_live", "make_live_body", "make_view"]
+__all__ = ["format_live_list", "make_live_list", "make_view"]
 
 
-def make_live(nodes: int, workers: int = WORKERS) -> LiveList:
-    """Return a live list of so many instances and endpoints."""
+def make_live_list(nodes: int, workers: int = WORKERS) -> LiveList:
+    """Return a live list of instances and endpoints."""
     entries = [
         LiveEntry(
             id=f"instance-{number:04}",
@@ -34,8 +34,8 @@
     return LiveList({entry.id: entry for entry in entries})
 
 
-def make_live_body(live: LiveList) -> bytes:
-    """Return the live list as the platform sends it."""
+def format_live_list(live: LiveList) -> bytes:
+    """Return the live list in the format of the platform."""
     rows = [
         {
             "id": entry.id,
@@ -52,7 +52,7 @@
 
 
 def make_view(live: LiveList) -> MemberView:
-    """Return the view in which everybody on the list lives."""
+    """Return a view in which all listed instances and endpoints are alive."""
     entries = live.entries_by_id.values()
     return MemberView(
         {
--- a/bench/capacity/measure.py
+++ b/bench/capacity/measure.py
@@ -1,4 +1,4 @@
-"""Run every measurement and hold what came out."""
+"""Run all measurements and collect their results."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 from bench.capacity import decisions
 from bench.capacity.const import MB
-from bench.capacity.timing import Line, fit
+from bench.capacity.timing import Line, fit_line
 from bench.capacity.tree import TreeCost
 from bench.capacity.wires import WireCost, measure_wires
 from bench.path.load import LoadResult, LoadSpec
@@ -20,7 +20,7 @@
 from standins.fleet import Daemon, Fleet
 from standins.platform import Platform
 
-__all__ = ["FleetCost", "Measured", "PathCost", "measure"]
+__all__ = ["FleetCost", "Measurements", "PathCost", "measure"]
 
 COMPONENTS = "livelist,peers,membership,tree,keys,turns,engine,plain,owner,gateway"
 TREE_SIZES = (10_000, 20_000, 40_000, 86_000)
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetCost:
-    """Idle daemons: a share of a core and MB, and how both grow."""
+    """IdleUsage daemons: a share of a core and MB, and how both grow."""
 
     core: float
     mb: float
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PathCost:
-    """Processor seconds a request and a token, and KB an open stream."""
+    """Processor seconds per request and token, KB per open stream."""
 
     entry_request_s: float
     owner_request_s: float
@@ -70,20 +70,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Memory:
-    """The memory of the two instances of a path in MB."""
+    """Memory of the entry and the owner in MB."""
 
     entry_mb: float
     owner_mb: float
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
+class Measurements:
     """Everything that the table is worked out from."""
 
     memory_mb_by_step: dict[str, float]
     trees: list[TreeCost]
     members: decisions.MemberCost
-    live: decisions.LiveCost
+    live: decisions.LiveListCost
     route_s: float
     route_again_s: float
     view_s: float
@@ -97,11 +97,11 @@
     @property
     def tree_mb(self) -> Line:
         """Return the memory of a tree by its adapters."""
-        return fit(TREE_SIZES, [cost.held_mb for cost in self.trees])
+        return fit_line(TREE_SIZES, [cost.held_mb for cost in self.trees])
 
 
-async def run_json(module: str, argument: str) -> str:
-    """Run a measurement in a process of its own and return what it says."""
+async def run_module(module: str, argument: str) -> str:
+    """Run a module in a separate process and return its output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", module, argument, stdout=asyncio.subprocess.PIPE
     )
@@ -110,26 +110,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Idle:
-    """The mean of some idle daemons."""
+class IdleUsage:
+    """Mean processor time and memory of idle daemons."""
 
     core: float
     mb: float
 
 
-async def watch_idle(daemons: list[Daemon]) -> Idle:
-    """Let daemons settle and watch them do nothing."""
+async def measure_idle_usage(daemons: list[Daemon]) -> IdleUsage:
+    """Measure idle daemons after a settling time."""
     await asyncio.sleep(SETTLE_S)
     processes = [psutil.Process(daemon.process.pid) for daemon in daemons]
     before = sum(sum(item.cpu_times()[:2]) for item in processes)
     await asyncio.sleep(IDLE_S)
     used = sum(sum(item.cpu_times()[:2]) for item in processes) - before
     mb = sum(item.memory_info().rss for item in processes) / MB
-    return Idle(used / IDLE_S / len(processes), mb / len(processes))
+    return IdleUsage(used / IDLE_S / len(processes), mb / len(processes))
 
 
 async def measure_fleet() -> FleetCost:
-    """Grow endpoints, then members, below idle daemons."""
+    """Measure idle daemons, then add endpoints, then members."""
     cancel_on_sigterm()
     with TemporaryDirectory(prefix="bench-capacity-") as name:
         fleet = Fleet(Path(name))
@@ -139,11 +139,11 @@
             await platform.add_pool(FIRST_POOL, FIRST_ENDPOINTS)
             await start_daemons(fleet, platform, ["c0", "c1"], FIRST_DAEMONS)
             first = list(fleet.daemons)
-            small = await watch_idle(first)
+            small = await measure_idle_usage(first)
             await platform.add_pool(MORE_POOL, MORE_ENDPOINTS)
-            large = await watch_idle(first)
+            large = await measure_idle_usage(first)
             await start_daemons(fleet, platform, ["d0", "d1"], MORE_DAEMONS)
-            wide = await watch_idle(first)
+            wide = await measure_idle_usage(first)
         finally:
             await fleet.stop()
             await platform.stop()
@@ -161,7 +161,7 @@
 async def start_daemons(
     fleet: Fleet, platform: Platform, data_centres: list[str], count: int
 ) -> None:
-    """Start idle daemons, spread over the data centres."""
+    """Start daemons, spread over the data centres."""
     name = data_centres[0]
     fleet.ports_by_deployment[name] = {
         "data_centres": data_centres,
@@ -172,11 +172,11 @@
 
 
 async def measure_path() -> PathCost:
-    """Measure a request and a token at an entry and an owner."""
+    """Measure the cost of requests and tokens at entry and owner."""
     async with open_world() as world:
         quiet = read_memory(world)
         before = world.read_usage()
-        order = LoadSpec(
+        spec = LoadSpec(
             address=world.entry.callers,
             callers=REQUEST_CALLERS,
             seconds=LOAD_S,
@@ -184,11 +184,11 @@
             stream=False,
             rate_per_s=REQUESTS_PER_S,
         )
-        results = await world.run_load(order, LOAD_PROCESSES)
+        results = await world.run_load(spec, LOAD_PROCESSES)
         whole = world.read_usage().minus(before)
         requests = sum(result.answered for result in results)
         before = world.read_usage()
-        order = order.model_copy(
+        spec = spec.model_copy(
             update={
                 "callers": STREAM_CALLERS,
                 "max_tokens": STREAM_TOKENS,
@@ -196,7 +196,7 @@
                 "rate_per_s": 0.0,
             }
         )
-        load = asyncio.create_task(world.run_load(order, LOAD_PROCESSES))
+        load = asyncio.create_task(world.run_load(spec, LOAD_PROCESSES))
         await asyncio.sleep(LOAD_S * 0.8)
         busy = read_memory(world)
         results = await load
@@ -212,7 +212,7 @@
     quiet: Memory,
     busy: Memory,
 ) -> PathCost:
-    """Take what the requests themselves cost off the streams' tokens."""
+    """Subtract the cost of requests to get the cost of tokens."""
     entry_s, owner_s = whole.entry_s / requests, whole.owner_s / requests
     answered = sum(result.answered for result in results)
     tokens = sum(result.tokens for result in results)
@@ -227,32 +227,32 @@
 
 
 def read_memory(world: World) -> Memory:
-    """Return the memory of both instances."""
+    """Return the memory of entry and owner."""
     ids = world.entry.process.pid, world.owner.process.pid
     entry, owner = (psutil.Process(id).memory_info().rss / MB for id in ids)
     return Memory(entry, owner)
 
 
-async def measure() -> Measured:
-    """Measure one thing after the other."""
-    memory = json.loads(await run_json("bench.capacity.memory", COMPONENTS))
+async def measure() -> Measurements:
+    """Run all measurements sequentially."""
+    memory = json.loads(await run_module("bench.capacity.memory", COMPONENTS))
     trees = [
-        TreeCost.model_validate_json(await run_json("bench.capacity.tree", str(size)))
+        TreeCost.model_validate_json(await run_module("bench.capacity.tree", str(size)))
         for size in TREE_SIZES
     ]
     claim_bytes, claim_s = decisions.measure_claims()
     turns = [decisions.measure_turns(size) for size in TURN_SIZES]
-    return Measured(
+    return Measurements(
         memory_mb_by_step=memory,
         trees=trees,
         members=decisions.measure_members(),
-        live=decisions.measure_live(),
+        live=decisions.measure_live_list(),
         route_s=decisions.measure_routing(MANY_ADAPTERS),
         route_again_s=decisions.measure_routing(FEW_ADAPTERS),
         view_s=decisions.measure_view(),
         claim_bytes=claim_bytes,
         claim_s=claim_s,
-        turn_s=fit(TURN_SIZES, turns),
+        turn_s=fit_line(TURN_SIZES, turns),
         fleet=await measure_fleet(),
         path=await measure_path(),
         wires=await measure_wires(),
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -14,7 +14,7 @@
 
 
 def main() -> None:
-    """Print the memory after each step of loading, in MB."""
+    """Print the memory of each import step in MB."""
     process = psutil.Process()
     steps = {"interpreter": process.memory_info().rss / MB}
     for name in LIBRARIES.split():
--- a/bench/capacity/timing.py
+++ b/bench/capacity/timing.py
@@ -1,34 +1,34 @@
-"""Time a call and fit a line through what was measured."""
+"""Time calls and fit a line to measurements."""
 
 import time
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-__all__ = ["Line", "fit", "time_call"]
+__all__ = ["Line", "fit_line", "time_call"]
 
 REPEATS = 5
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """A slope and what is there at zero.
+    """A line with a slope and the value at zero.
 
-    >>> Line(2.0, 1.0).at(3)
+    >>> Line(2.0, 1.0).value_at(3)
     7.0
     """
 
     slope: float
     base: float
 
-    def at(self, size: float) -> float:
-        """Return the value at a size."""
+    def value_at(self, size: float) -> float:
+        """Return the value for a size."""
         return self.base + self.slope * size
 
 
-def fit(sizes: Sequence[float], values: Sequence[float]) -> Line:
-    """Return the least squares line.
+def fit_line(sizes: Sequence[float], values: Sequence[float]) -> Line:
+    """Return the least squares fit.
 
-    >>> fit([1, 2, 3], [3.0, 5.0, 7.0])
+    >>> fit_line([1, 2, 3], [3.0, 5.0, 7.0])
     Line(slope=2.0, base=1.0)
     """
     count = len(sizes)
@@ -41,11 +41,11 @@
 
 
 def time_call(call: Callable[[], object], number: int) -> float:
-    """Return the processor seconds of one call, the best of several runs."""
+    """Return the processor seconds of one call, best of several runs."""
     best = float("inf")
     for _ in range(REPEATS):
-        began = time.process_time()
+        started_at = time.process_time()
         for _ in range(number):
             call()
-        best = min(best, time.process_time() - began)
+        best = min(best, time.process_time() - started_at)
     return best / number
--- a/bench/capacity/tree.py
+++ b/bench/capacity/tree.py
@@ -1,4 +1,4 @@
-"""What a tree of many adapters costs, each size in a process of its own.
+"""Cost of a tree of many adapters; each size runs in its own process.
 
 ``python -m bench.capacity.tree ADAPTERS`` prints a ``TreeCost`` as JSON.
 """
@@ -16,7 +16,7 @@
 
 __all__ = ["TreeCost", "main"]
 
-PER_PART = 10_000
+ADAPTERS_PER_PART = 10_000
 HEAD = b"""[shop shop]
 token_sha256 = 0000000000000000000000000000000000000000000000000000000000000000
 [pool base]
@@ -40,7 +40,7 @@
 
 
 def make_part(first: int, count: int, version: int) -> bytes:
-    """Return a roster of adapters with names of usual length."""
+    """Return a roster of adapters with names of typical length."""
     lines = "".join(
         f"    adapter-of-shop-{number:06} {version}\n"
         for number in range(first, first + count)
@@ -51,9 +51,9 @@
 def make_tree(adapters: int) -> dict[str, bytes]:
     """Return the parts of a tree."""
     parts = {"head": HEAD}
-    for first in range(0, adapters, PER_PART):
-        count = min(PER_PART, adapters - first)
-        parts[f"roster-{first // PER_PART:03}"] = make_part(first, count, 1)
+    for first in range(0, adapters, ADAPTERS_PER_PART):
+        count = min(ADAPTERS_PER_PART, adapters - first)
+        parts[f"roster-{first // ADAPTERS_PER_PART:03}"] = make_part(first, count, 1)
     return parts
 
 
@@ -63,20 +63,20 @@
     parts = make_tree(adapters)
     gc.collect()
     before = process.memory_info().rss
-    began = time.process_time()
+    started_at = time.process_time()
     manifest = parse_manifest(format_manifest(1, parts).encode()).unwrap()
     by_hash = {manifest.hashes_by_part[name]: body for name, body in parts.items()}
     snapshot = build_snapshot(manifest, by_hash, None).unwrap()
-    build_s = time.process_time() - began
+    build_s = time.process_time() - started_at
     gc.collect()
     held = process.memory_info().rss
     changed = dict(parts)
-    changed["roster-000"] = make_part(0, min(PER_PART, adapters), 2)
+    changed["roster-000"] = make_part(0, min(ADAPTERS_PER_PART, adapters), 2)
     manifest = parse_manifest(format_manifest(2, changed).encode()).unwrap()
     digest = manifest.hashes_by_part["roster-000"]
-    began = time.process_time()
+    started_at = time.process_time()
     later = build_snapshot(manifest, {digest: changed["roster-000"]}, snapshot).unwrap()
-    change_s = time.process_time() - began
+    change_s = time.process_time() - started_at
     return TreeCost(
         adapters=adapters,
         held_mb=(held - before) / MB,
@@ -90,7 +90,7 @@
 
 
 def main() -> None:
-    """Measure the size of the command line."""
+    """Measure the size given on the command line."""
     print(measure(int(sys.argv[1])).model_dump_json())
 
 
--- a/bench/capacity/wires.py
+++ b/bench/capacity/wires.py
@@ -1,4 +1,4 @@
-"""What connections and HTTP exchanges cost, measured over loopback."""
+"""Cost of connections and HTTP exchanges, measured over loopback."""
 
 import asyncio
 import time
@@ -19,7 +19,7 @@
 __all__ = ["WireCost", "measure_wires"]
 
 DIALS = 200
-# Opening, acknowledging and closing a connection of one exchange.
+# TCP packets without payload of one HTTP exchange.
 PACKETS = 9
 LOADED = 8
 KEY = "a-key-of-the-bench"
@@ -29,15 +29,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WireCost:
-    """Processor seconds of opening a connection, both sides, and bytes."""
+    """Processor seconds to open a connection on both sides, and bytes."""
 
     opening_s: float
     report_bytes: int
     exchange_bytes: int
 
 
-async def measure_openings() -> float:
-    """Return what it costs to open and close a connection between peers."""
+async def measure_connection_opening() -> float:
+    """Return the processor seconds to open and close a peer connection."""
     address = f"{LOOPBACK}:0"
     text = SETTINGS.format(
         id="one",
@@ -57,32 +57,32 @@
     await peers.start()
     dialer = Dialer((KEY.encode(),), None, time.monotonic)
     hello = Hello(PROTOCOL_VERSION, "two", "here", 1, address)
-    began = time.process_time()
+    started_at = time.process_time()
     for _ in range(DIALS):
         connection, _ = (await dialer.dial(peers.address, hello)).unwrap()
         await connection.close_gracefully()
-    seconds = (time.process_time() - began) / DIALS
+    seconds = (time.process_time() - started_at) / DIALS
     await peers.stop()
     await instance.stop()
     return seconds
 
 
 async def measure_exchange() -> tuple[int, int]:
-    """Return the bytes of a report and of all else around its body."""
+    """Return the bytes of a report and of its protocol overhead."""
     engine, server = await start_engine(EngineSettings())
     engine.control({"loaded": [f"adapter-of-shop-{n:06}@1" for n in range(LOADED)]})
     client = EndpointClient(server.address)
     report = await client.fetch("GET", "/v1/report", timeout_s=5.0)
     client.close()
     head = sum(len(f"{name}: {value}\r\n") for name, value in report.headers.get_all())
-    request = await count_request(EndpointClient)
+    request = await measure_request_bytes(EndpointClient)
     await server.stop()
     engine.stop()
     return len(report.body), head + request + PACKETS * PACKET_BYTES
 
 
-async def count_request(make: type[EndpointClient]) -> int:
-    """Return how long the client's request is."""
+async def measure_request_bytes(make: type[EndpointClient]) -> int:
+    """Return the size of the request that the client sends."""
     length: asyncio.Future[int] = asyncio.get_running_loop().create_future()
 
     async def accept(
@@ -103,6 +103,6 @@
 
 
 async def measure_wires() -> WireCost:
-    """Measure all."""
+    """Measure connections and exchanges."""
     report, exchange = await measure_exchange()
-    return WireCost(await measure_openings(), report, exchange)
+    return WireCost(await measure_connection_opening(), report, exchange)
