--- a/bench/policy/__init__.py
+++ b/bench/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The policy under load: the real decisions on a virtual clock."""
+"""Simulation of the scheduling policy on a virtual clock."""
 
 from bench.policy.report import main
 
--- a/bench/policy/fakes.py
+++ b/bench/policy/fakes.py
@@ -1,4 +1,4 @@
-"""A virtual clock, an engine and a weight store on it."""
+"""Fake clock, engine and weight store."""
 
 import heapq
 import itertools
@@ -9,13 +9,13 @@
 from bench.policy.traces import SLOTS
 from fescuekeel.messages import AdapterRef
 
-__all__ = ["Clock", "Engine", "Store"]
+__all__ = ["FakeClock", "FakeEngine", "FakeStore"]
 
 Call = Callable[[], None]
 
 
-class Clock:
-    """Call what is due, in order of time."""
+class FakeClock:
+    """A virtual clock that runs scheduled calls in order of time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -23,7 +23,7 @@
         self._numbers = itertools.count()
 
     def call_at(self, at: float, call: Call) -> None:
-        """Schedule a call; calls of one time keep their order."""
+        """Schedule a call; calls for the same time keep their order."""
         heapq.heappush(self._calls, (at, next(self._numbers), call))
 
     def call_later(self, delay_s: float, call: Call) -> None:
@@ -39,15 +39,15 @@
 
 
 @dataclass(slots=True)
-class Engine:
-    """Count steps without walking through them: all last equally long.
+class FakeEngine:
+    """An engine whose steps all take the same time.
 
-    It raises on an order that no engine of the brief would survive: work on
-    an adapter that is not loaded, or the eviction of one that serves.
+    Raises ``AssertionError`` on invalid orders, such as a request for an
+    adapter that is not loaded or the eviction of one in use.
     """
 
     id: str
-    clock: Clock
+    clock: FakeClock
     step_s: float
     max_running: int
     loaded: set[AdapterRef] = field(default_factory=set)
@@ -58,7 +58,7 @@
     _busy_until: int = 0
 
     def start(self, id: str, adapter: AdapterRef, tokens: int) -> float:
-        """Take a request into the batch; return when it ends."""
+        """Add a request to the batch; return its end time."""
         if adapter not in self.loaded:
             raise AssertionError(f"{self.id}: {adapter} is not loaded")
         if len(self.running_by_id) >= self.max_running:
@@ -72,19 +72,19 @@
         return end * self.step_s
 
     def load(self, adapter: AdapterRef) -> None:
-        """Take in an adapter that was fetched."""
+        """Add a fetched adapter."""
         if len(self.loaded) >= SLOTS:
             raise AssertionError(f"{self.id}: no slot")
         self.loaded.add(adapter)
 
     def evict(self, adapter: AdapterRef) -> None:
-        """Drop an adapter."""
+        """Evict an adapter."""
         if adapter in self.running_by_id.values():
             raise AssertionError(f"{self.id}: {adapter} serves")
         self.loaded.discard(adapter)
 
     def restart(self) -> list[str]:
-        """Start cold; return the requests that are lost."""
+        """Restart without adapters; return the lost requests."""
         lost = list(self.running_by_id)
         self.boot += 1
         self.loaded.clear()
@@ -92,10 +92,10 @@
         return lost
 
 
-class Store:
-    """Share the rate of loads among all that fetch at once."""
+class FakeStore:
+    """A weight store whose load rate is shared by concurrent fetches."""
 
-    def __init__(self, clock: Clock, loads_per_s: float) -> None:
+    def __init__(self, clock: FakeClock, loads_per_s: float) -> None:
         self._clock = clock
         self._loads_per_s = loads_per_s
         self._fetches: dict[int, tuple[float, Call]] = {}
@@ -105,7 +105,7 @@
         self.loads = 0
 
     def fetch(self, done: Call) -> None:
-        """Fetch one adapter's weights and call back."""
+        """Fetch the weights of an adapter; call ``done`` at the end."""
         self._advance()
         self.loads += 1
         self._fetches[next(self._numbers)] = (1.0, done)
--- a/bench/policy/outcome.py
+++ b/bench/policy/outcome.py
@@ -1,4 +1,4 @@
-"""What one run gave."""
+"""Results of one simulation run."""
 
 from dataclasses import dataclass, field
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of one request; ``stall_s`` is the wait for its adapter.
+    """Outcome of one request; ``stall_s`` is the wait for its adapter.
 
-    ``ended_at`` is when it was refused or answered, in seconds.
+    ``ended_at`` is the time of its response or rejection, in seconds.
     """
 
     request: Request
@@ -22,7 +22,7 @@
 
     @property
     def in_time(self) -> bool:
-        """Tell whether it was answered within its time."""
+        """Return whether the response met the deadline."""
         if self.answered_at is None:
             return False
         return self.answered_at <= self.request.at + self.request.kind.answer_s
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What one run gave, after the warm-up."""
+    """Results of one run after the warm-up."""
 
     outcomes: list[Outcome] = field(default_factory=list)
     loads: int = 0
--- a/bench/policy/previous.py
+++ b/bench/policy/previous.py
@@ -1,4 +1,4 @@
-"""The scheduling of an earlier revision, taken out of the repository."""
+"""Scheduling code of an earlier revision, read from the repository."""
 
 import importlib
 import subprocess
@@ -11,13 +11,13 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 SCHEDULING = "fescuekeel/components/owner/scheduling"
 PACKAGE = "fescuekeel.components.owner.scheduling"
-# Events and effects must be those of today for the bench to tell them apart.
+# Events and effects are shared with the current code, so that matching works.
 SHARED = ("model.py",)
 SHARED_IMPORT = f"from {PACKAGE} import model"
 
 
 def find_previous() -> str | None:
-    """Return the last revision whose scheduling differs from today's.
+    """Return the last revision whose scheduling differs from the current one.
 
     Returns ``None`` outside a repository or when there is none.
     """
@@ -28,7 +28,7 @@
 
 
 def load_revision(revision: str) -> ModuleType:
-    """Import an earlier revision's decisions under a name of their own."""
+    """Import the decisions of an earlier revision under a separate name."""
     name = f"previous_{revision}"
     target = ROOT / "build" / "previous" / name
     target.mkdir(parents=True, exist_ok=True)
--- a/bench/policy/report.py
+++ b/bench/policy/report.py
@@ -1,4 +1,4 @@
-"""Run all policies on all traces and print what they gave."""
+"""Run all policies on all traces and print the results."""
 
 import argparse
 import os
@@ -9,8 +9,8 @@
 
 from bench.policy.outcome import Result
 from bench.policy.previous import find_previous, load_revision
-from bench.policy.rivals import Clairvoyant, FirstCome, Ours, Policy
-from bench.policy.simulation import play
+from bench.policy.rivals import Clairvoyant, FirstCome, Policy, ProjectPolicy
+from bench.policy.simulation import simulate
 from bench.policy.summary import Stalls, Summary, summarize
 from bench.policy.sweep import print_sweep
 from bench.policy.traces import DEPLOYMENTS, TRACES, Deployment, Trace, make_trace
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One run."""
+    """Parameters of one run."""
 
     deployment: str
     trace: str
@@ -48,27 +48,27 @@
 
 
 def make_policy(job: Job, deployment: Deployment, trace: Trace) -> Policy:
-    """Return the policy that a job names."""
+    """Return the policy of a job."""
     if job.policy == LRU:
         return FirstCome()
     if job.policy == RANDOM:
         return FirstCome(seed=job.seed)
     if job.policy == PREVIOUS:
-        return Ours(load_revision(job.previous))
+        return ProjectPolicy(load_revision(job.previous))
     if job.policy == CLAIRVOYANT:
         return Clairvoyant(trace, deployment)
-    return Ours()
+    return ProjectPolicy()
 
 
 def run_job(job: Job) -> Result:
-    """Play one trace."""
+    """Simulate the trace of a job."""
     deployment = DEPLOYMENTS[job.deployment]
     trace = make_trace(deployment, job.trace, job.seed)
-    return play(deployment, trace, make_policy(job, deployment, trace))
+    return simulate(deployment, trace, make_policy(job, deployment, trace))
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run the bench."""
+    """Run the simulations and print the results."""
     options = parse(arguments)
     if options.sweep:
         print_sweep(options.deployments, options.seeds, PROCESSES)
@@ -85,14 +85,14 @@
         for policy in policies
         for seed in range(1, options.seeds + 1)
     ]
-    # The longest first, so that no process is left with one at the end.
+    # Longest first, to balance the processes.
     jobs.sort(
         key=lambda job: (-TRACES[job.trace], -DEPLOYMENTS[job.deployment].workers)
     )
     with ProcessPoolExecutor(min(PROCESSES, os.cpu_count() or 1)) as pool:
         results = dict(zip(jobs, pool.map(run_job, jobs), strict=True))
     summaries_by_deployment = {
-        name: sum_up(DEPLOYMENTS[name], options.traces, policies, results)
+        name: summarize_traces(DEPLOYMENTS[name], options.traces, policies, results)
         for name in options.deployments
     }
     for name, summaries in summaries_by_deployment.items():
@@ -102,7 +102,7 @@
     }:
         plot(summaries_by_deployment, FIGURE if options.figure else BUILD_FIGURE)
         for name, summaries in summaries_by_deployment.items():
-            print(format_whole_line(name, summaries))
+            print(format_penalized_line(name, summaries))
         for name, summaries in summaries_by_deployment.items():
             print(format_last_line(name, summaries))
     return 0
@@ -127,7 +127,7 @@
     return parser.parse_args(arguments)
 
 
-def sum_up(
+def summarize_traces(
     deployment: Deployment,
     traces: Sequence[str],
     policies: Sequence[str],
@@ -152,7 +152,7 @@
 
 
 def print_table(deployment: Deployment, summaries: Summaries) -> None:
-    """Print the figures of one deployment."""
+    """Print the results of one deployment."""
     print(
         f"\n{deployment.name}: {deployment.workers} workers, knee at "
         f"{deployment.knee_per_s:.1f} requests/s, a load takes {deployment.load_s} s"
@@ -160,7 +160,7 @@
     print(
         "trace    policy       stall: mean    p50    p99 | urgent: mean    p50    p99"
         " | other: mean    p50    p99 | whole: mean    p99"
-        " | in time  urgent  batch  loads  back | told: p50   p99  refused"
+        " | in time  urgent  batch  loads  back | told: p50   p99  rejected"
     )
     for trace, by_policy in summaries.items():
         for policy, item in by_policy.items():
@@ -168,39 +168,39 @@
                 f"        {value.mean:6.2f} {value.p50:6.2f} {value.p99:6.2f}"
                 for value in (item.stalls, item.urgent, item.other)
             )
-            refused = " ".join(f"{kind}={n}" for kind, n in item.refused.items())
+            rejected = " ".join(f"{kind}={n}" for kind, n in item.rejected.items())
             print(
                 f"{trace:8} {policy:11} {stalls}"
-                f" |       {item.whole.mean:6.2f} {item.whole.p99:6.2f}"
+                f" |       {item.penalized_stalls.mean:6.2f} {item.penalized_stalls.p99:6.2f}"
                 f" |   {item.in_time:.3f}   {item.urgent_in_time:.3f}"
                 f"  {item.batch:.3f}  {item.loads:5}  {item.recovery_s:4.0f}"
-                f" |     {item.told.p50:5.2f} {item.told.p99:5.2f}  {refused}"
+                f" |     {item.rejection_times.p50:5.2f} {item.rejection_times.p99:5.2f}  {rejected}"
             )
 
 
 def divide(value: float, by: float) -> float:
-    """Return a ratio that is finite."""
+    """Return the ratio, or 1.0 for a divisor of zero."""
     return value / by if by > 0 else 1.0
 
 
 def compare_stalls(ours: Stalls, rival: Stalls) -> float:
-    """Return the worse ratio of mean and p99."""
+    """Return the larger of the ratios of mean and p99."""
     return max(divide(ours.mean, rival.mean), divide(ours.p99, rival.p99))
 
 
-def format_whole_line(deployment: str, summaries: Summaries) -> str:
-    """Return the ratios with each unanswered request's whole answer time."""
-    ours = summaries["knee"][OURS].whole
+def format_penalized_line(deployment: str, summaries: Summaries) -> str:
+    """Return stall ratios, unanswered requests counted as full timeouts."""
+    ours = summaries["knee"][OURS].penalized_stalls
     parts = [f"unanswered counted whole: deployment={deployment}"]
     for other in (LRU, CLAIRVOYANT):
-        rival = summaries["knee"][other].whole
+        rival = summaries["knee"][other].penalized_stalls
         parts.append(f"mean_vs_{other}={divide(ours.mean, rival.mean):.3f}")
         parts.append(f"p99_vs_{other}={divide(ours.p99, rival.p99):.3f}")
     return " ".join(parts)
 
 
 def format_last_line(deployment: str, summaries: Summaries) -> str:
-    """Return the line that ends a deployment's output."""
+    """Return the summary line of a deployment."""
     goodput = min(
         divide(summaries[name][OURS].in_time, summaries[name][CLAIRVOYANT].in_time)
         for name in PAST_KNEE
@@ -222,7 +222,7 @@
 
 
 def plot(summaries_by_deployment: dict[str, Summaries], path: Path) -> None:
-    """Draw mean stalls and answers in time by trace and policy."""
+    """Plot mean stalls and in-time responses by trace and policy."""
     import matplotlib as mpl
 
     mpl.use("Agg")
--- a/bench/policy/rivals.py
+++ b/bench/policy/rivals.py
@@ -1,4 +1,4 @@
-"""The policies that are compared, each behind the same protocol."""
+"""The compared policies, behind a common protocol."""
 
 import bisect
 import importlib.util
@@ -15,31 +15,31 @@
 from fescuekeel.components.owner.scheduling.queue import Wait, WorkQueue
 from fescuekeel.messages import AdapterRef, LiveEntry, Member
 
-__all__ = ["Clairvoyant", "FirstCome", "Ours", "Policy", "Router", "Scheduler"]
+__all__ = ["Clairvoyant", "FirstCome", "Policy", "ProjectPolicy", "Router", "Scheduler"]
 
 
 class Scheduler(Protocol):
-    """Decide for one endpoint."""
+    """Scheduler of one endpoint."""
 
     def handle(self, event: Any, now: float) -> list[Any]:
-        """Take an event in and return effects."""
+        """Handle an event and return effects."""
 
     @property
     def queued_count(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
 
     @property
     def running_count(self) -> int:
-        """Return how many run."""
+        """Return the number of running requests."""
 
     @property
     def loaded(self) -> frozenset[AdapterRef]:
-        """Return the adapters that are loaded."""
+        """Return the loaded adapters."""
 
 
 @dataclass(frozen=True, slots=True)
 class Router:
-    """What an entry knows when it chooses an endpoint."""
+    """State from which an entry chooses an endpoint."""
 
     endpoints_by_id: Mapping[str, LiveEntry]
     members_by_id: Mapping[str, Member]
@@ -49,7 +49,7 @@
 
 
 class Policy(Protocol):
-    """Make schedulers and choose endpoints."""
+    """Creates schedulers and chooses endpoints."""
 
     def make_scheduler(self) -> Scheduler:
         """Return a scheduler for one endpoint."""
@@ -57,11 +57,11 @@
     def route(
         self, request: Request, router: Router, tried: Iterable[str], now: float
     ) -> str | None:
-        """Return the endpoint that the request goes to."""
+        """Return the endpoint for a request, if any."""
 
 
-class Ours:
-    """The project's own policy, or an earlier one given as a module."""
+class ProjectPolicy:
+    """The current policy, or an earlier revision given as a module."""
 
     def __init__(self, module: ModuleType = decision) -> None:
         self._module = module
@@ -73,19 +73,19 @@
         return scheduler
 
     def look(self, scheduler: Scheduler, adapter: AdapterRef, now: float) -> Any:
-        """Return the situation as the real owner tells it, if it does."""
+        """Return the load state of the scheduler, if the module has copies."""
         if self._copies is None:
             return None
         return self._copies.look(scheduler, adapter, now)
 
     def should_move(self, here: Any, there: Any) -> bool:
-        """Ask the real decision."""
+        """Return whether the request should move to the alternate endpoint."""
         return self._copies is not None and self._copies.should_move(here, there)
 
     def route(
         self, request: Request, router: Router, tried: Iterable[str], now: float
     ) -> str | None:
-        """Ask the real routing."""
+        """Choose an endpoint with the gateway's routing."""
         choice = routing.choose(
             "engines",
             request.adapter,
@@ -101,24 +101,24 @@
 
 
 def _find_copies(module: ModuleType) -> Any:
-    """Return the placement of copies beside a scheduler, if it has one."""
+    """Return the ``copies`` module beside a scheduler, if there is one."""
     name = f"{module.__name__.rpartition('.')[0]}.copies"
     if importlib.util.find_spec(name) is None:
         return None
     return importlib.import_module(name)
 
 
-# Usual parts: least recently used, or random; first come; least loaded.
+# Baselines: LRU or random eviction, first come first served, least loaded.
 
 
 @dataclass(slots=True)
-class Recency:
+class RecencyScore:
     """Score adapters by their last use."""
 
     _used_by_adapter: dict[AdapterRef, float] = field(default_factory=dict)
 
     def record(self, adapter: AdapterRef, now: float) -> None:
-        """Note a use."""
+        """Record a use."""
         self._used_by_adapter[adapter] = now
 
     def get_score(self, adapter: AdapterRef, now: float) -> float:
@@ -127,13 +127,13 @@
 
 
 @dataclass(slots=True)
-class Chance:
+class RandomScore:
     """Score adapters at random."""
 
     random_: random.Random
 
     def record(self, adapter: AdapterRef, now: float) -> None:
-        """Learn nothing."""
+        """Ignore uses."""
 
     def get_score(self, adapter: AdapterRef, now: float) -> float:
         """Return a random number."""
@@ -145,7 +145,7 @@
     """Load in order of arrival."""
 
     def get_value(self, wait: Wait, now: float) -> float:
-        """Return more for what waits longer."""
+        """Return a higher value for a longer wait."""
         return now - wait.oldest
 
 
@@ -161,8 +161,8 @@
         self._random = random.Random(seed) if seed is not None else None
 
     def make_scheduler(self) -> Scheduler:
-        """Return a scheduler without urgency and early refusals."""
-        score = Chance(self._random) if self._random else Recency()
+        """Return a scheduler without urgency and early rejections."""
+        score = RandomScore(self._random) if self._random else RecencyScore()
         return decision.EndpointScheduler(
             popularity=score,
             queue=WorkQueue(order=order_first_come),
@@ -173,7 +173,7 @@
     def route(
         self, request: Request, router: Router, tried: Iterable[str], now: float
     ) -> str | None:
-        """Take the endpoint with the fewest requests, or any at random."""
+        """Choose the endpoint with the fewest requests, or a random one."""
         ids = [id for id in router.endpoints_by_id if id not in set(tried)]
         if not ids:
             return None
@@ -186,11 +186,11 @@
     return scheduler.queued_count + scheduler.running_count
 
 
-# One that knows the trace.
+# A policy that knows the trace.
 
 
 class Oracle:
-    """Know when each adapter is asked for next."""
+    """Look up the next use of each adapter in the trace."""
 
     def __init__(self, trace: Trace) -> None:
         self._times_by_adapter: defaultdict[AdapterRef, list[float]] = defaultdict(list)
@@ -198,7 +198,7 @@
             self._times_by_adapter[request.adapter].append(request.at)
 
     def record(self, adapter: AdapterRef, now: float) -> None:
-        """Learn nothing: all is known."""
+        """Ignore uses."""
 
     def get_next_use(self, adapter: AdapterRef, now: float) -> float:
         """Return the time of the next arrival, infinite if there is none."""
@@ -212,11 +212,10 @@
 
 
 class Clairvoyant:
-    """Know the trace, each queue and each copy at the time of routing.
+    """A policy that knows the trace, all queues and all copies.
 
-    It evicts what is used last of all, over all endpoints (a load goes where
-    that one is), and loads on demand in the order of the real policy. It
-    does not load ahead of the demand.
+    It loads an adapter at the endpoint whose evictable adapter has the latest
+    next use. Loads are on demand only, in the order of the current policy.
     """
 
     def __init__(self, trace: Trace, deployment: Deployment) -> None:
@@ -224,24 +223,29 @@
         self._deployment = deployment
 
     def make_scheduler(self) -> Scheduler:
-        """Return the real scheduler with the true next use of each adapter."""
+        """Return the real scheduler, evicting by the true next use."""
         return decision.EndpointScheduler(popularity=self._oracle)
 
     def route(
         self, request: Request, router: Router, tried: Iterable[str], now: float
     ) -> str | None:
-        """Go where a copy is or will be, else where a load costs least."""
-        left = [id for id in router.endpoints_by_id if id not in set(tried)]
-        if not left:
+        """Prefer an endpoint with a copy, else the cheapest eviction."""
+        candidates = [id for id in router.endpoints_by_id if id not in set(tried)]
+        if not candidates:
             return None
-        schedulers = {id: router.schedulers_by_id[id] for id in left}
-        having = [id for id, item in schedulers.items() if _has(item, request.adapter)]
-        if having:
-            return min(having, key=lambda id: (_count(schedulers[id]), id))
-        return max(left, key=lambda id: (self._get_room(schedulers[id], now), id))
-
-    def _get_room(self, scheduler: Scheduler, now: float) -> float:
-        """Return when the endpoint's least needed adapter is used next."""
+        schedulers = {id: router.schedulers_by_id[id] for id in candidates}
+        holders = [
+            id for id, item in schedulers.items() if _has_copy(item, request.adapter)
+        ]
+        if holders:
+            return min(holders, key=lambda id: (_count(schedulers[id]), id))
+        return max(
+            candidates,
+            key=lambda id: (self._get_eviction_distance(schedulers[id], now), id),
+        )
+
+    def _get_eviction_distance(self, scheduler: Scheduler, now: float) -> float:
+        """Return the next use of the adapter that a load would evict."""
         assert isinstance(scheduler, decision.EndpointScheduler)
         waiting = len(scheduler.queue.adapters - scheduler.loaded)
         next_uses = sorted(
@@ -261,7 +265,7 @@
         return next_uses[index] if index < len(next_uses) else now
 
 
-def _has(scheduler: Scheduler, adapter: AdapterRef) -> bool:
+def _has_copy(scheduler: Scheduler, adapter: AdapterRef) -> bool:
     assert isinstance(scheduler, decision.EndpointScheduler)
     if adapter in scheduler.loaded or adapter == scheduler.loading:
         return True
--- a/bench/policy/simulation.py
+++ b/bench/policy/simulation.py
@@ -1,15 +1,15 @@
-"""Play one trace against one policy."""
+"""Simulate one trace with one policy."""
 
 from collections import Counter
 from functools import partial
 from typing import Any
 
-from bench.policy.fakes import Clock, Store
+from bench.policy.fakes import FakeClock, FakeStore
 from bench.policy.outcome import Outcome, Result
-from bench.policy.rivals import Ours, Policy, Router
+from bench.policy.rivals import Policy, ProjectPolicy, Router
 from bench.policy.traces import (
     CHANGE_ENDS_S,
-    CHANGE_S,
+    CHANGE_STARTS_S,
     DATA_CENTRES,
     DURATION_S,
     SLOTS,
@@ -18,9 +18,9 @@
     Request,
     Trace,
 )
-from bench.policy.turns import Turns
+from bench.policy.turns import TurnLeaders
 from bench.policy.world import (
-    LINK_S,
+    LINK_DELAY_S,
     Attempt,
     Host,
     make_config,
@@ -33,65 +33,67 @@
 from fescuekeel.helpers.homes import find_other, rank_alive
 from fescuekeel.messages import AdapterRef, TurnAsk
 
-__all__ = ["play"]
+__all__ = ["simulate"]
 
 EVICT_S = 0.002
 TICK_S = 0.1
 REPORT_S = 0.5
 DRAIN_S = 70.0
-# A dead owner is noticed after this long, and its lease waited out.
-NOTICED_S = 1.0
+# Time until the failure of an owner is detected, and until its lease expires.
+FAILURE_DETECTION_S = 1.0
 LEASE_S = 2.0
 ASK_TIMEOUT_S = 0.2
 
 
-def play(deployment: Deployment, trace: Trace, policy: Policy) -> Result:
-    """Run a trace to its end."""
-    return _Run(deployment, trace, policy).run()
+def simulate(deployment: Deployment, trace: Trace, policy: Policy) -> Result:
+    """Run a trace to its end and return the results."""
+    return _Simulation(deployment, trace, policy).run()
 
 
-class _Run:
+class _Simulation:
     def __init__(self, deployment: Deployment, trace: Trace, policy: Policy) -> None:
         self._deployment = deployment
         self._trace = trace
         self._policy = policy
-        self._clock = Clock()
-        self._store = Store(self._clock, deployment.loads_per_s)
+        self._clock = FakeClock()
+        self._store = FakeStore(self._clock, deployment.loads_per_s)
         self._hints_by_dc = {f"dc{n}": routing.Hints() for n in range(DATA_CENTRES)}
         self._members = make_members()
         self._hosts_by_id = make_hosts(deployment, policy, self._clock)
-        self._turns = Turns(self._clock, self._hosts_by_id, self._tell, self._get_side)
+        self._turns = TurnLeaders(
+            self._clock, self._hosts_by_id, self._send_event, self._get_partition_side
+        )
         self._attempts_by_id: dict[str, Attempt] = {}
         self._result = Result()
-        self._cut = False
-        self._held: list[Attempt] = []
-        self._dead_owner = ""
-        self._at_warm_up = Counter[str]()
+        self._partitioned = False
+        self._pending_attempts: list[Attempt] = []
+        self._ownerless_endpoint = ""
+        self._counts_at_warm_up = Counter[str]()
 
     def run(self) -> Result:
-        """Schedule everything and let the clock run."""
+        """Schedule requests and changes, then run the clock."""
         for host in self._hosts_by_id.values():
-            self._tell(host, make_config(self._deployment, ready=True))
+            self._send_event(host, make_config(self._deployment, ready=True))
         for request in self._trace.requests:
             attempt = Attempt(request)
             self._clock.call_at(request.at, partial(self._route, attempt))
         self._clock.call_at(TICK_S, self._tick)
-        self._clock.call_at(WARM_UP_S, self._note_warm_up)
-        self._clock.call_at(CHANGE_S, self._change)
+        self._clock.call_at(WARM_UP_S, self._record_warm_up)
+        self._clock.call_at(CHANGE_STARTS_S, self._start_change)
         self._clock.call_at(CHANGE_ENDS_S, self._end_change)
         self._clock.run(DURATION_S + DRAIN_S)
         left = len(self._attempts_by_id)
         if left:
             raise AssertionError(f"{left} requests never ended")
         counts = self._count()
-        counts.subtract(self._at_warm_up)
+        counts.subtract(self._counts_at_warm_up)
         self._result.loads = counts["loads"]
         self._result.steps = counts["steps"]
         self._result.tokens = counts["tokens"]
         return self._result
 
-    def _note_warm_up(self) -> None:
-        self._at_warm_up = self._count()
+    def _record_warm_up(self) -> None:
+        self._counts_at_warm_up = self._count()
 
     def _count(self) -> Counter[str]:
         engines = [host.engine for host in self._hosts_by_id.values()]
@@ -105,20 +107,20 @@
         self._turns.tick()
         for host in self._hosts_by_id.values():
             if host.scheduler.queued_count or host.scheduler.running_count:
-                self._tell(host, model.Tick())
+                self._send_event(host, model.Tick())
         if self._clock.now < DURATION_S + DRAIN_S:
             self._clock.call_later(TICK_S, self._tick)
 
-    # The entries' part.
+    # Entries.
 
     def _make_router(self, dc: str) -> Router:
         members = self._members
-        if self._cut:
-            side = self._get_side(dc)
+        if self._partitioned:
+            side = self._get_partition_side(dc)
             members = {
                 id: member
                 for id, member in members.items()
-                if self._get_side(member.data_centre) == side
+                if self._get_partition_side(member.data_centre) == side
             }
         return Router(
             endpoints_by_id={id: h.entry for id, h in self._hosts_by_id.items()},
@@ -128,37 +130,37 @@
             load_s=self._deployment.load_s,
         )
 
-    def _get_side(self, dc: str) -> str:
-        return dc if self._cut and dc == "dc2" else ""
+    def _get_partition_side(self, dc: str) -> str:
+        return dc if self._partitioned and dc == "dc2" else ""
 
     def _route(self, attempt: Attempt) -> None:
         request = attempt.request
         self._attempts_by_id[request.id] = attempt
         router = self._make_router(request.data_centre)
         now = self._clock.now
-        cut_off = {
+        unreachable = {
             id
             for id, host in self._hosts_by_id.items()
-            if self._get_side(host.entry.data_centre)
-            != self._get_side(request.data_centre)
+            if self._get_partition_side(host.entry.data_centre)
+            != self._get_partition_side(request.data_centre)
         }
-        tried = attempt.tried | cut_off
+        tried = attempt.tried | unreachable
         endpoint = self._policy.route(request, router, sorted(tried), now)
         if endpoint is None:
             self._end(request, None, ErrorKind.NO_ENDPOINT, 0.0)
             return
         attempt.endpoint = endpoint
         router.hints.note_sent(endpoint)
-        if endpoint == self._dead_owner:
-            self._held.append(attempt)
+        if endpoint == self._ownerless_endpoint:
+            self._pending_attempts.append(attempt)
             return
-        self._clock.call_later(LINK_S, partial(self._submit, attempt))
+        self._clock.call_later(LINK_DELAY_S, partial(self._submit, attempt))
 
     def _submit(self, attempt: Attempt) -> None:
-        if attempt.endpoint == self._dead_owner:
-            self._held.append(attempt)
+        if attempt.endpoint == self._ownerless_endpoint:
+            self._pending_attempts.append(attempt)
             return
-        if not self._ask_other(attempt):
+        if not self._ask_alternate(attempt):
             self._arrive(attempt)
 
     def _arrive(self, attempt: Attempt) -> None:
@@ -174,64 +176,68 @@
             stall_weight=self._deployment.stall_weight,
             batch_weight=self._deployment.batch_weight,
         )
-        self._tell(self._hosts_by_id[attempt.endpoint], model.Arrived(work))
+        self._send_event(self._hosts_by_id[attempt.endpoint], model.Arrived(work))
 
-    # The owners' question where a load takes place.
+    # Placement of loads.
 
-    def _ask_other(self, attempt: Attempt) -> bool:
-        """Ask the adapter's other endpoint when a load is needed here."""
+    def _ask_alternate(self, attempt: Attempt) -> bool:
+        """Ask the alternate endpoint if this one needs to load the adapter."""
         policy, adapter = self._policy, attempt.request.adapter
         host = self._hosts_by_id[attempt.endpoint]
-        if attempt.moved or not isinstance(policy, Ours):
+        if attempt.moved or not isinstance(policy, ProjectPolicy):
             return False
         here = policy.look(host.scheduler, adapter, self._clock.now)
-        other = self._find_other(host, adapter)
-        if here is None or here.held or other is None:
+        alternate = self._find_alternate(host, adapter)
+        if here is None or here.held or alternate is None:
             return False
-        silent = other.entry.id == self._dead_owner
-        if silent:
+        unresponsive = alternate.entry.id == self._ownerless_endpoint
+        if unresponsive:
             self._clock.call_later(ASK_TIMEOUT_S, partial(self._decide, attempt, None))
             return True
-        self._clock.call_later(LINK_S, partial(self._look_there, attempt, other))
+        self._clock.call_later(
+            LINK_DELAY_S, partial(self._inspect_alternate, attempt, alternate)
+        )
         return True
 
-    def _find_other(self, host: Host, adapter: AdapterRef) -> Host | None:
+    def _find_alternate(self, host: Host, adapter: AdapterRef) -> Host | None:
         router = self._make_router(host.entry.data_centre)
         ranked = rank_alive(
             "engines", adapter, router.endpoints_by_id, router.members_by_id
         )
-        other = find_other(host.entry.id, ranked)
-        return None if other is None else self._hosts_by_id[other]
+        alternate = find_other(host.entry.id, ranked)
+        return None if alternate is None else self._hosts_by_id[alternate]
 
-    def _look_there(self, attempt: Attempt, other: Host) -> None:
-        assert isinstance(self._policy, Ours)
+    def _inspect_alternate(self, attempt: Attempt, alternate: Host) -> None:
+        assert isinstance(self._policy, ProjectPolicy)
         adapter = attempt.request.adapter
-        there = self._policy.look(other.scheduler, adapter, self._clock.now)
-        decide = partial(self._decide, attempt, other.entry.id, there)
-        self._clock.call_later(LINK_S, decide)
+        there = self._policy.look(alternate.scheduler, adapter, self._clock.now)
+        decide = partial(self._decide, attempt, alternate.entry.id, there)
+        self._clock.call_later(LINK_DELAY_S, decide)
 
-    def _decide(self, attempt: Attempt, other: str | None, there: Any = None) -> None:
-        assert isinstance(self._policy, Ours)
+    def _decide(
+        self, attempt: Attempt, alternate: str | None, there: Any = None
+    ) -> None:
+        assert isinstance(self._policy, ProjectPolicy)
         request, now = attempt.request, self._clock.now
-        if attempt.endpoint == self._dead_owner:
-            self._held.append(attempt)
+        if attempt.endpoint == self._ownerless_endpoint:
+            self._pending_attempts.append(attempt)
             return
         host = self._hosts_by_id[attempt.endpoint]
         here = self._policy.look(host.scheduler, request.adapter, now)
-        if other is None or not self._policy.should_move(here, there):
+        if alternate is None or not self._policy.should_move(here, there):
             self._arrive(attempt)
             return
-        self._clock.call_later(LINK_S, partial(self._move, attempt, other))
+        self._clock.call_later(LINK_DELAY_S, partial(self._move, attempt, alternate))
 
     def _move(self, attempt: Attempt, endpoint: str) -> None:
-        """Send a request on to the endpoint that its home named."""
+        """Redirect a request to the alternate endpoint."""
         request, now = attempt.request, self._clock.now
         hints = self._hints_by_dc[request.data_centre]
         hints.note_moved(attempt.endpoint, endpoint, request.adapter, now)
         hints.note_done(attempt.endpoint)
         hints.note_sent(endpoint)
         attempt.endpoint, attempt.moved = endpoint, True
-        self._clock.call_later(LINK_S, partial(self._submit, attempt))
+        self._clock.call_later(LINK_DELAY_S, partial(self._submit, attempt))
 
     def _end(
         self, request: Request, answered_at: float | None, kind: str, stall_s: float
@@ -243,9 +249,9 @@
             outcome = Outcome(request, answered_at, str(kind), stall_s, self._clock.now)
             self._result.outcomes.append(outcome)
 
-    # The owners' part.
+    # Owners.
 
-    def _tell(self, host: Host, event: model.Event) -> None:
+    def _send_event(self, host: Host, event: model.Event) -> None:
         for effect in host.scheduler.handle(event, self._clock.now):
             self._apply(host, effect)
 
@@ -254,21 +260,23 @@
             case model.Dispatch(request_id):
                 self._dispatch(host, effect, self._attempts_by_id[request_id].request)
             case model.Refuse(request_id):
-                self._refuse(host, effect, self._attempts_by_id[request_id])
+                self._reject(host, effect, self._attempts_by_id[request_id])
             case model.AskTurn(adapter, value, waiting):
-                known = host.ask is not None and host.ask.adapter == adapter
-                host.ask = TurnAsk(host.entry.id, adapter, value, waiting)
-                ask = partial(self._turns.ask, host, host.ask, 0 if known else 1)
-                self._clock.call_later(LINK_S, ask)
+                known = host.turn_ask is not None and host.turn_ask.adapter == adapter
+                host.turn_ask = TurnAsk(host.entry.id, adapter, value, waiting)
+                turn_ask = partial(
+                    self._turns.ask, host, host.turn_ask, 0 if known else 1
+                )
+                self._clock.call_later(LINK_DELAY_S, turn_ask)
             case model.ReturnTurn(adapter):
-                host.ask = None
-                self._turns.give_back(host, adapter, 0)
+                host.turn_ask = None
+                self._turns.return_turn(host, adapter, 0)
             case model.Load(adapter):
                 self._load(host, adapter)
             case model.Evict(adapter):
                 host.engine.evict(adapter)
                 ended = model.EvictEnded(adapter, True)
-                self._clock.call_later(EVICT_S, partial(self._tell, host, ended))
+                self._clock.call_later(EVICT_S, partial(self._send_event, host, ended))
             case _:
                 raise AssertionError(f"unknown effect {effect}")
 
@@ -290,14 +298,14 @@
         if boot != host.engine.boot:
             return
         del host.engine.running_by_id[request.id]
-        self._end(request, self._clock.now + 2 * LINK_S, "answered", stall_s)
-        if request.id in host.foreign_by_id:
-            del host.foreign_by_id[request.id]
+        self._end(request, self._clock.now + 2 * LINK_DELAY_S, "answered", stall_s)
+        if request.id in host.inherited_by_id:
+            del host.inherited_by_id[request.id]
             self._clock.call_later(REPORT_S, partial(self._report, host))
             return
-        self._tell(host, model.Finished(request.id))
+        self._send_event(host, model.Finished(request.id))
 
-    def _refuse(self, host: Host, effect: model.Refuse, attempt: Attempt) -> None:
+    def _reject(self, host: Host, effect: model.Refuse, attempt: Attempt) -> None:
         request = attempt.request
         now = self._clock.now
         if effect.kind is ErrorKind.QUEUE_FULL and not attempt.tried:
@@ -305,7 +313,7 @@
             hints.note_full(host.entry.id, effect.retry_after_s, now)
             hints.note_done(host.entry.id)
             attempt.tried.add(host.entry.id)
-            self._clock.call_later(LINK_S, partial(self._route, attempt))
+            self._clock.call_later(LINK_DELAY_S, partial(self._route, attempt))
             return
         waited_s = 0.0 if request.adapter in host.engine.loaded else now - request.at
         self._end(request, None, effect.kind, waited_s)
@@ -325,55 +333,57 @@
         if ok:
             host.engine.load(adapter)
             host.loaded_at[adapter] = self._clock.now
-        self._turns.give_back(host, adapter, int(took_s * 1000))
-        self._tell(host, model.LoadEnded(adapter, ok, took_s))
+        self._turns.return_turn(host, adapter, int(took_s * 1000))
+        self._send_event(host, model.LoadEnded(adapter, ok, took_s))
 
     # Failures.
 
-    def _change(self) -> None:
+    def _start_change(self) -> None:
         if self._trace.restarts:
             self._restart(self._hosts_by_id["e0"])
-        if self._trace.cuts:
-            self._cut = True
-        if self._trace.replaces_owner:
+        if self._trace.has_partition:
+            self._partitioned = True
+        if self._trace.kills_owner:
             self._kill_owner(self._hosts_by_id["e0"])
 
     def _end_change(self) -> None:
-        self._cut = False
+        self._partitioned = False
 
     def _restart(self, host: Host) -> None:
         lost = host.engine.restart()
         event = model.Reported(frozenset(), {}, restarted=True)
-        self._tell(host, event)
+        self._send_event(host, event)
         for id in lost:
             self._end(self._attempts_by_id[id].request, None, "endpoint_lost", 0.0)
-            self._tell(host, model.Finished(id))
+            self._send_event(host, model.Finished(id))
 
     def _kill_owner(self, host: Host) -> None:
-        """Lose the scheduler's state; what it had queued is sent again."""
-        self._dead_owner = host.entry.id
-        host.foreign_by_id = dict(host.engine.running_by_id)
+        """Discard the scheduler state; queued requests are resubmitted."""
+        self._ownerless_endpoint = host.entry.id
+        host.inherited_by_id = dict(host.engine.running_by_id)
         queued = [
             attempt
             for id, attempt in self._attempts_by_id.items()
             if attempt.endpoint == host.entry.id and id not in host.engine.running_by_id
         ]
-        self._held += queued
+        self._pending_attempts += queued
         host.scheduler = self._policy.make_scheduler()
-        self._clock.call_later(NOTICED_S, partial(self._take_over, host))
+        self._clock.call_later(FAILURE_DETECTION_S, partial(self._take_over, host))
 
     def _take_over(self, host: Host) -> None:
-        self._dead_owner = ""
-        self._tell(host, make_config(self._deployment, ready=False))
+        self._ownerless_endpoint = ""
+        self._send_event(host, make_config(self._deployment, ready=False))
         self._report(host)
-        held, self._held = self._held, []
+        held, self._pending_attempts = self._pending_attempts, []
         for attempt in held:
             self._submit(attempt)
         self._clock.call_later(LEASE_S, partial(self._become_ready, host))
 
     def _become_ready(self, host: Host) -> None:
-        self._tell(host, make_config(self._deployment, ready=True))
+        self._send_event(host, make_config(self._deployment, ready=True))
 
     def _report(self, host: Host) -> None:
-        event = model.Reported(frozenset(host.engine.loaded), dict(host.foreign_by_id))
-        self._tell(host, event)
+        event = model.Reported(
+            frozenset(host.engine.loaded), dict(host.inherited_by_id)
+        )
+        self._send_event(host, event)
--- a/bench/policy/summary.py
+++ b/bench/policy/summary.py
@@ -1,4 +1,4 @@
-"""Figures of one policy on one trace, over all seeds."""
+"""Results of one policy on one trace over all seeds."""
 
 import math
 from collections import Counter
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 
 from bench.policy.outcome import Outcome, Result
-from bench.policy.traces import CHANGE_S, Deployment
+from bench.policy.traces import CHANGE_STARTS_S, Deployment
 
 __all__ = ["Summary", "get_quantile", "summarize"]
 
 URGENT = 0
 WINDOW_S = 10.0
-STEADY_FACTOR = 1.1
+STEADY_TOLERANCE = 1.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,8 +25,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """When those without an answer were refused, as a share of their time."""
+class RejectionTimes:
+    """Times of rejections as a share of the allowed answer time."""
 
     p50: float
     p99: float
@@ -34,19 +34,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What the table shows.
-
-    Stalls are those of all requests that were not refused on arrival, so
-    that one whose time passed while it waited for a load counts as well.
-    ``in_time`` and ``batch`` are shares, ``answer_s`` is the mean time to the
-    whole answer. In ``whole`` each request without an answer, also one that
-    was refused on arrival, counts with its whole answer time: else a policy
-    whose callers give up looks better the earlier they do.
+    """Results as the table shows them.
+
+    Stalls exclude requests rejected on arrival, but include those that timed
+    out while waiting for a load. ``in_time`` and ``batch`` are shares,
+    ``answer_s`` is the mean time to the complete answer. In
+    ``penalized_stalls`` each unanswered request counts with its whole allowed
+    time, so that early rejections don't look like short stalls.
     """
 
     stalls: Stalls
-    whole: Stalls
-    told: Told
+    penalized_stalls: Stalls
+    rejection_times: RejectionTimes
     urgent: Stalls
     other: Stalls
     requests: int
@@ -55,7 +54,7 @@
     batch: float
     loads: int
     answer_s: float
-    refused: dict[str, int]
+    rejected: dict[str, int]
     stall_by_window: dict[int, float]
 
     @property
@@ -65,10 +64,10 @@
         That is the first window from which on the mean of three windows is
         within 10% of the mean before the change, or infinite.
         """
-        change = int(CHANGE_S // WINDOW_S)
+        change = int(CHANGE_STARTS_S // WINDOW_S)
         windows = self.stall_by_window
         before = [value for window, value in windows.items() if window < change]
-        limit = STEADY_FACTOR * _mean(before)
+        limit = STEADY_TOLERANCE * _mean(before)
         for window in sorted(windows):
             if window < change:
                 continue
@@ -79,18 +78,22 @@
 
 
 def summarize(deployment: Deployment, results: Iterable[Result]) -> Summary:
-    """Sum up the results of several seeds."""
+    """Summarize the results of several seeds."""
     results = list(results)
     outcomes = [outcome for result in results for outcome in result.outcomes]
     waited = [item for item in outcomes if item.answered_at or item.stall_s > 0]
     urgent = [item for item in outcomes if item.request.kind.urgency == URGENT]
     steps = sum(result.steps for result in results)
     tokens = sum(result.tokens for result in results)
-    refused = Counter(item.kind for item in outcomes if item.answered_at is None)
+    rejected = Counter(item.kind for item in outcomes if item.answered_at is None)
     return Summary(
         stalls=_get_stalls(waited),
-        whole=_sum_up(_get_whole_s(item) for item in outcomes),
-        told=_get_told(item for item in outcomes if item.answered_at is None),
+        penalized_stalls=_summarize_stalls(
+            _get_penalized_stall_s(item) for item in outcomes
+        ),
+        rejection_times=_get_rejection_times(
+            item for item in outcomes if item.answered_at is None
+        ),
         urgent=_get_stalls(i for i in waited if i.request.kind.urgency == URGENT),
         other=_get_stalls(i for i in waited if i.request.kind.urgency != URGENT),
         requests=len(outcomes),
@@ -101,13 +104,13 @@
         answer_s=_mean(
             item.answered_at - item.request.at for item in waited if item.answered_at
         ),
-        refused=dict(refused.most_common()),
+        rejected=dict(rejected.most_common()),
         stall_by_window=_get_windows(waited),
     )
 
 
 def get_quantile(values: list[float], share: float) -> float:
-    """Return the value below which this share lies.
+    """Return the quantile of values.
 
     >>> get_quantile([1.0, 2.0, 3.0], 0.5)
     2.0
@@ -117,24 +120,24 @@
 
 
 def _get_stalls(outcomes: Iterable[Outcome]) -> Stalls:
-    return _sum_up(item.stall_s for item in outcomes)
+    return _summarize_stalls(item.stall_s for item in outcomes)
 
 
-def _get_whole_s(outcome: Outcome) -> float:
+def _get_penalized_stall_s(outcome: Outcome) -> float:
     if outcome.answered_at is None:
         return outcome.request.kind.answer_s
     return outcome.stall_s
 
 
-def _get_told(outcomes: Iterable[Outcome]) -> Told:
+def _get_rejection_times(outcomes: Iterable[Outcome]) -> RejectionTimes:
     shares = [
         (item.ended_at - item.request.at) / item.request.kind.answer_s
         for item in outcomes
     ]
-    return Told(get_quantile(shares, 0.5), get_quantile(shares, 0.99))
+    return RejectionTimes(get_quantile(shares, 0.5), get_quantile(shares, 0.99))
 
 
-def _sum_up(seconds: Iterable[float]) -> Stalls:
+def _summarize_stalls(seconds: Iterable[float]) -> Stalls:
     values = list(seconds)
     return Stalls(_mean(values), get_quantile(values, 0.5), get_quantile(values, 0.99))
 
--- a/bench/policy/sweep.py
+++ b/bench/policy/sweep.py
@@ -1,12 +1,12 @@
-"""Sweep the weights of stalls against batches."""
+"""Compare weights of stalls against batches."""
 
 from collections.abc import Sequence
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, replace
 
 from bench.policy.outcome import Result
-from bench.policy.rivals import Ours
-from bench.policy.simulation import play
+from bench.policy.rivals import ProjectPolicy
+from bench.policy.simulation import simulate
 from bench.policy.summary import summarize
 from bench.policy.traces import DEPLOYMENTS, make_trace
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SweepJob:
-    """One run with weights of its own."""
+    """Parameters of one run with its weights."""
 
     deployment: str
     trace: str
@@ -28,13 +28,15 @@
 
 
 def run_sweep_job(job: SweepJob) -> Result:
-    """Play one trace with other weights than the tree's."""
+    """Simulate one trace with the weights of a job."""
     deployment = replace(
         DEPLOYMENTS[job.deployment],
         stall_weight=job.stall_weight,
         batch_weight=job.batch_weight,
     )
-    return play(deployment, make_trace(deployment, job.trace, job.seed), Ours())
+    return simulate(
+        deployment, make_trace(deployment, job.trace, job.seed), ProjectPolicy()
+    )
 
 
 def print_sweep(deployments: Sequence[str], seeds: int, processes: int) -> None:
--- a/bench/policy/traces.py
+++ b/bench/policy/traces.py
@@ -1,4 +1,4 @@
-"""The two users' deployments and the traces that are played on them."""
+"""Two deployments and the request traces that are simulated on them."""
 
 import bisect
 import itertools
@@ -18,18 +18,18 @@
 ]
 
 ADAPTERS = 3000
-ZIPF = 0.9
+ZIPF_EXPONENT = 0.9
 DATA_CENTRES = 3
 SLOTS = 8
-# Two half-lives of the counts of arrivals, so that the steady traces do not
-# measure how popularity is learned; the shift and the restart do.
+# Two half-lives of the arrival counts, so that steady traces exclude the time
+# in which popularity is learned.
 WARM_UP_S = 600.0
 DURATION_S = 960.0
-CHANGE_S = 660.0
+CHANGE_STARTS_S = 660.0
 CHANGE_ENDS_S = 720.0
-# The knee: the rate at which the store is this busy under the best cache that
-# never changes, one that holds the most popular adapters.
-KNEE_BUSY = 0.9
+# Utilization of the store at the knee rate, with the most popular adapters
+# cached permanently.
+KNEE_UTILIZATION = 0.9
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """One user's pool of engines as the brief's table gives it.
+    """The engine pool of one deployment.
 
     Slots, requests per step, services, urgency, answer times and weights are
-    those of the trees in ``examples/``; the lengths of answers are guesses.
-    The plain workers load nothing, so that they take no part here.
+    those of the trees in ``examples/``; answer lengths are assumed. Plain
+    workers load no adapters and are left out.
     """
 
     name: str
@@ -58,7 +58,7 @@
     loads_per_s: float
     stall_weight: float
     batch_weight: float
-    peak: float
+    peak_factor: float
     kinds: tuple[RequestKind, ...]
 
     @property
@@ -69,9 +69,9 @@
     @property
     def knee_per_s(self) -> float:
         """Return the request rate at the weight store's knee."""
-        weights = [1 / (rank + 1) ** ZIPF for rank in range(ADAPTERS)]
+        weights = [1 / (rank + 1) ** ZIPF_EXPONENT for rank in range(ADAPTERS)]
         missed = sum(weights[self.workers * SLOTS :]) / sum(weights)
-        return KNEE_BUSY * self.loads_per_s / missed
+        return KNEE_UTILIZATION * self.loads_per_s / missed
 
 
 DEPLOYMENTS = {
@@ -85,7 +85,7 @@
             loads_per_s=2.0,
             stall_weight=4.0,
             batch_weight=1.0,
-            peak=2.0,
+            peak_factor=2.0,
             kinds=(
                 RequestKind("scripts", 0, 8.0, 100),
                 RequestKind("methods", 1, 20.0, 120),
@@ -100,7 +100,7 @@
             loads_per_s=5.0,
             stall_weight=1.0,
             batch_weight=4.0,
-            peak=4.0,
+            peak_factor=4.0,
             kinds=(
                 RequestKind("reports", 0, 12.0, 200),
                 RequestKind("summaries", 2, 30.0, 120),
@@ -124,14 +124,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """Requests in order of arrival, and the failure that goes with them."""
+    """Requests in order of arrival, and the fault to inject."""
 
     name: str
     seed: int
     requests: tuple[Request, ...]
     restarts: bool = False
-    cuts: bool = False
-    replaces_owner: bool = False
+    has_partition: bool = False
+    kills_owner: bool = False
 
 
 # Rate in units of the knee, for each trace.
@@ -149,7 +149,7 @@
 
 
 def make_trace(deployment: Deployment, name: str, seed: int) -> Trace:
-    """Draw a trace; the same arguments give the same one."""
+    """Generate a trace; deterministic for the same arguments."""
     random_ = random.Random(f"{deployment.name}/{name}/{seed}")
     popularity = _Popularity(random_)
     kinds_by_adapter = {
@@ -159,14 +159,14 @@
     rate = TRACES[name] * deployment.knee_per_s
     at = 0.0
     while True:
-        changed = CHANGE_S <= at < CHANGE_ENDS_S
-        peak = deployment.peak if name == "peak" and changed else 1.0
+        changed = CHANGE_STARTS_S <= at < CHANGE_ENDS_S
+        peak = deployment.peak_factor if name == "peak" and changed else 1.0
         at += random_.expovariate(rate * peak)
         if at >= DURATION_S:
             break
-        if name == "shift" and at >= CHANGE_S:
+        if name == "shift" and at >= CHANGE_STARTS_S:
             popularity.shift()
-        # An early shift asks for few adapters: each crew's own.
+        # At the peak only a few adapters are in use.
         head = 200 if peak > 1.0 else ADAPTERS
         adapter = popularity.draw(head)
         kind = kinds_by_adapter[adapter]
@@ -176,8 +176,8 @@
         seed=seed,
         requests=tuple(requests),
         restarts=name == "restart",
-        cuts=name == "cut",
-        replaces_owner=name == "owner",
+        has_partition=name == "cut",
+        kills_owner=name == "owner",
     )
 
 
@@ -195,11 +195,11 @@
 
 
 class _Popularity:
-    """Draw adapters by Zipf's law; a shift gives each rank a new adapter."""
+    """Zipf popularity of adapters; a shift reassigns the ranks."""
 
     def __init__(self, random_: random.Random) -> None:
         self._random = random_
-        weights = [1 / (rank + 1) ** ZIPF for rank in range(ADAPTERS)]
+        weights = [1 / (rank + 1) ** ZIPF_EXPONENT for rank in range(ADAPTERS)]
         self._sums = list(itertools.accumulate(weights))
         self.adapters = [AdapterRef(f"a{number}", "1") for number in range(ADAPTERS)]
         random_.shuffle(self.adapters)
@@ -211,7 +211,7 @@
         return self.adapters[bisect.bisect(self._sums, point)]
 
     def shift(self) -> None:
-        """Make yesterday's cold adapters hot, once."""
+        """Swap popular and unpopular adapters, once."""
         if self._shifted:
             return
         self._shifted = True
--- a/bench/policy/turns.py
+++ b/bench/policy/turns.py
@@ -1,65 +1,70 @@
-"""The leaders of load turns, one on each side of a cut."""
+"""Leaders of load turns, one on each side of a partition."""
 
 from collections.abc import Callable, Mapping
 from functools import partial
 
-from bench.policy.fakes import Clock
-from bench.policy.world import LINK_S, Host
+from bench.policy.fakes import FakeClock
+from bench.policy.world import LINK_DELAY_S, Host
 from fescuekeel.components.owner.scheduling import model
 from fescuekeel.components.turns.decision import TurnReply, TurnTable
 from fescuekeel.messages import AdapterRef, PeerMessage, TurnAsk, TurnDone
 
-__all__ = ["Turns"]
+__all__ = ["TurnLeaders"]
 
 
-class Turns:
-    """Carry the owners' asks to the leader of their side and back."""
+class TurnLeaders:
+    """Forward turn requests to the leader of a side, and its replies back."""
 
     def __init__(
         self,
-        clock: Clock,
+        clock: FakeClock,
         hosts_by_id: Mapping[str, Host],
-        tell: Callable[[Host, model.Event], None],
-        get_side: Callable[[str], str],
+        send_event: Callable[[Host, model.Event], None],
+        get_partition_side: Callable[[str], str],
     ) -> None:
         self._clock = clock
         self._hosts_by_id = hosts_by_id
-        self._tell = tell
-        self._get_side = get_side
+        self._send_event = send_event
+        self._get_partition_side = get_partition_side
         self._tables_by_side = {"": TurnTable(), "dc2": TurnTable()}
 
     def _get_table(self, host: Host) -> TurnTable:
-        return self._tables_by_side[self._get_side(host.entry.data_centre)]
+        return self._tables_by_side[self._get_partition_side(host.entry.data_centre)]
 
     def ask(self, host: Host, ask: TurnAsk, number: int) -> None:
-        """Ask the leader for a turn; number zero only changes the value."""
+        """Request a turn from the leader; number 0 only updates the value."""
         table = self._get_table(host)
-        question = PeerMessage(host.entry.id, number, ask)
-        self._answer(table.ask(question, self._clock.now))
+        request = PeerMessage(host.entry.id, number, ask)
+        self._deliver_replies(table.ask(request, self._clock.now))
 
     def tick(self) -> None:
-        """Let time pass at the leaders."""
+        """Process timeouts at the leaders."""
         for table in self._tables_by_side.values():
-            self._answer(table.tick(self._clock.now))
+            self._deliver_replies(table.tick(self._clock.now))
 
-    def give_back(self, host: Host, adapter: AdapterRef, took_ms: int) -> None:
-        """Give a turn back to the leader."""
+    def return_turn(self, host: Host, adapter: AdapterRef, took_ms: int) -> None:
+        """Return a turn to the leader."""
         done = TurnDone(host.entry.id, adapter, took_ms)
         table = self._get_table(host)
 
         def end() -> None:
-            self._answer(table.done(done, self._clock.now))
+            self._deliver_replies(table.done(done, self._clock.now))
 
-        self._clock.call_later(LINK_S, end)
+        self._clock.call_later(LINK_DELAY_S, end)
 
-    def _answer(self, replies: list[TurnReply]) -> None:
+    def _deliver_replies(self, replies: list[TurnReply]) -> None:
         for reply in replies:
             host = self._hosts_by_id[reply.question.sender]
             if reply.answer.granted:
-                host.ask = None
+                host.turn_ask = None
                 event = model.TurnGranted(reply.answer.adapter)
-                self._clock.call_later(LINK_S, partial(self._tell, host, event))
+                self._clock.call_later(
+                    LINK_DELAY_S, partial(self._send_event, host, event)
+                )
                 continue
-            if host.ask is not None and host.ask.adapter == reply.answer.adapter:
-                again = partial(self.ask, host, host.ask, 1)
-                self._clock.call_later(2 * LINK_S, again)
+            if (
+                host.turn_ask is not None
+                and host.turn_ask.adapter == reply.answer.adapter
+            ):
+                retry = partial(self.ask, host, host.turn_ask, 1)
+                self._clock.call_later(2 * LINK_DELAY_S, retry)
--- a/bench/policy/world.py
+++ b/bench/policy/world.py
@@ -1,15 +1,15 @@
-"""The endpoints, their owners and the members of a run."""
+"""Endpoints, owners and members of a run."""
 
 from dataclasses import dataclass, field
 
-from bench.policy.fakes import Clock, Engine
+from bench.policy.fakes import FakeClock, FakeEngine
 from bench.policy.rivals import Policy, Scheduler
 from bench.policy.traces import DATA_CENTRES, SLOTS, Deployment, Request
 from fescuekeel.components.owner.scheduling import model
 from fescuekeel.messages import AdapterRef, LiveEntry, LiveRole, Member, TurnAsk
 
 __all__ = [
-    "LINK_S",
+    "LINK_DELAY_S",
     "Attempt",
     "Host",
     "make_config",
@@ -17,13 +17,13 @@
     "make_members",
 ]
 
-LINK_S = 0.0005
+LINK_DELAY_S = 0.0005
 MEMBERS = 8
 
 
 @dataclass(slots=True)
 class Attempt:
-    """A request on its way; ``tried`` are endpoints that had no room."""
+    """A request in progress; ``tried`` are endpoints with a full queue."""
 
     request: Request
     endpoint: str = ""
@@ -33,16 +33,16 @@
 
 @dataclass(slots=True)
 class Host:
-    """One endpoint with its owner's scheduler."""
+    """An endpoint and the scheduler of its owner."""
 
-    engine: Engine
+    engine: FakeEngine
     scheduler: Scheduler
     entry: LiveEntry
     ready: bool = True
     ended_by_owner: int = 0
-    foreign_by_id: dict[str, AdapterRef] = field(default_factory=dict)
+    inherited_by_id: dict[str, AdapterRef] = field(default_factory=dict)
     loaded_at: dict[AdapterRef, float] = field(default_factory=dict)
-    ask: TurnAsk | None = None
+    turn_ask: TurnAsk | None = None
 
 
 def make_members() -> dict[str, Member]:
@@ -51,19 +51,21 @@
     return {member.id: member for member in members}
 
 
-def make_hosts(deployment: Deployment, policy: Policy, clock: Clock) -> dict[str, Host]:
-    """Return a deployment's endpoints with new schedulers."""
+def make_hosts(
+    deployment: Deployment, policy: Policy, clock: FakeClock
+) -> dict[str, Host]:
+    """Return the endpoints of a deployment with new schedulers."""
     hosts = {}
     for number in range(deployment.workers):
         id, dc = f"e{number}", f"dc{number % DATA_CENTRES}"
-        engine = Engine(id, clock, deployment.step_s, deployment.max_running)
+        engine = FakeEngine(id, clock, deployment.step_s, deployment.max_running)
         entry = LiveEntry(id, LiveRole.ENDPOINT, "", dc, 1, pool="engines")
         hosts[id] = Host(engine, policy.make_scheduler(), entry)
     return hosts
 
 
 def make_config(deployment: Deployment, ready: bool) -> model.Configured:
-    """Return the pool's settings as an owner gets them."""
+    """Return the pool settings as an event for the owner."""
     return model.Configured(
         slots=SLOTS,
         max_running=deployment.max_running,
--- a/tests/bench/test_policy.py
+++ b/tests/bench/test_policy.py
@@ -1,10 +1,10 @@
-"""Tests of the policy bench: what it plays with and that it can fail."""
+"""Tests of the policy simulation and its fakes."""
 
 import pytest
 
-from bench.policy.fakes import Clock, Engine, Store
-from bench.policy.rivals import Clairvoyant, FirstCome, Ours
-from bench.policy.simulation import play
+from bench.policy.fakes import FakeClock, FakeEngine, FakeStore
+from bench.policy.rivals import Clairvoyant, FirstCome, ProjectPolicy
+from bench.policy.simulation import simulate
 from bench.policy.traces import DEPLOYMENTS, WARM_UP_S, Trace, make_trace
 from fescuekeel.components.owner.scheduling.decision import EndpointScheduler
 from fescuekeel.components.owner.scheduling.holdings import Holdings
@@ -16,37 +16,37 @@
 
 def make_short_trace(name="knee", requests=2200):
     whole = make_trace(DEPLOYMENT, name, 1)
-    return Trace(name, 1, whole.requests[:requests], cuts=True, restarts=True)
+    return Trace(name, 1, whole.requests[:requests], has_partition=True, restarts=True)
 
 
 class TestTraces:
-    def test_a_seed_gives_the_same_trace(self):
+    def test_trace_is_deterministic(self):
         first, second = (make_trace(DEPLOYMENT, "knee", 7) for _ in range(2))
         assert first == second
         assert first.requests != make_trace(DEPLOYMENT, "knee", 8).requests
 
-    def test_the_knee_lies_where_the_store_is_nearly_busy(self):
+    def test_knee_rate_is_plausible(self):
         assert 2.0 < DEPLOYMENT.knee_per_s < 4.0
 
 
 class TestFakes:
-    def test_two_fetches_share_the_rate(self):
-        clock, done = Clock(), []
-        store = Store(clock, loads_per_s=2.0)
+    def test_concurrent_fetches_share_the_rate(self):
+        clock, done = FakeClock(), []
+        store = FakeStore(clock, loads_per_s=2.0)
         store.fetch(lambda: done.append(clock.now))
         clock.run(0.25)
         store.fetch(lambda: done.append(clock.now))
         clock.run(5.0)
         assert done == pytest.approx([0.75, 1.0])
 
-    def test_steps_are_shared_by_a_batch(self):
-        engine = Engine("e1", Clock(), 0.01, 4, loaded={A})
+    def test_batched_requests_share_steps(self):
+        engine = FakeEngine("e1", FakeClock(), 0.01, 4, loaded={A})
         assert engine.start("r1", A, 10) == pytest.approx(0.1)
         engine.start("r2", A, 20)
         assert (engine.steps, engine.tokens) == (20, 30)
 
-    def test_an_engine_notices_wrong_orders(self):
-        engine = Engine("e1", Clock(), 0.01, 4, loaded={A})
+    def test_engine_rejects_invalid_orders(self):
+        engine = FakeEngine("e1", FakeClock(), 0.01, 4, loaded={A})
         engine.start("r1", A, 10)
         with pytest.raises(AssertionError, match="serves"):
             engine.evict(A)
@@ -55,19 +55,19 @@
 
 
 class BrokenHoldings(Holdings):
-    """Let everything be evicted without a look at what serves."""
+    """Allow the eviction of adapters in use."""
 
     def is_idle(self, adapter, now):
         return True
 
 
-class Broken(Ours):
+class Broken(ProjectPolicy):
     def make_scheduler(self):
         return EndpointScheduler(holdings=BrokenHoldings())
 
 
-class Counting(Ours):
-    """Count the questions and what was sent on."""
+class Counting(ProjectPolicy):
+    """Count move decisions and moves."""
 
     asked = moved = 0
 
@@ -78,23 +78,23 @@
 
 
 class TestPlay:
-    def test_owners_ask_before_loads_and_some_requests_move(self):
+    def test_some_requests_move_to_the_alternate_endpoint(self):
         trace, policy = make_short_trace(), Counting()
-        play(DEPLOYMENT, trace, policy)
+        simulate(DEPLOYMENT, trace, policy)
         assert 0 < policy.moved < policy.asked < len(trace.requests)
 
-    def test_every_request_ends_once_under_each_policy(self):
+    def test_every_request_has_one_outcome(self):
         trace = make_short_trace()
         counted = sum(request.at >= WARM_UP_S for request in trace.requests)
-        for policy in (Ours(), FirstCome(), Clairvoyant(trace, DEPLOYMENT)):
-            result = play(DEPLOYMENT, trace, policy)
+        for policy in (ProjectPolicy(), FirstCome(), Clairvoyant(trace, DEPLOYMENT)):
+            result = simulate(DEPLOYMENT, trace, policy)
             assert len(result.outcomes) == counted > 0
 
-    def test_the_same_run_twice_gives_the_same(self):
+    def test_simulation_is_deterministic(self):
         trace = make_short_trace()
-        first, second = (play(DEPLOYMENT, trace, Ours()) for _ in range(2))
+        first, second = (simulate(DEPLOYMENT, trace, ProjectPolicy()) for _ in range(2))
         assert first.outcomes == second.outcomes
 
-    def test_an_eviction_of_a_serving_adapter_is_noticed(self):
+    def test_eviction_of_an_adapter_in_use_raises(self):
         with pytest.raises(AssertionError, match="serves"):
-            play(DEPLOYMENT, make_short_trace("triple", 2000), Broken())
+            simulate(DEPLOYMENT, make_short_trace("triple", 2000), Broken())
--- a/tests/bench/test_policy_summary.py
+++ b/tests/bench/test_policy_summary.py
@@ -1,4 +1,4 @@
-"""Tests of what the policy bench's table says of unanswered requests."""
+"""Tests of how summaries count unanswered requests."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 class TestUnanswered:
-    def test_giving_up_early_does_not_look_like_a_short_stall(self):
+    def test_early_rejection_does_not_count_as_short_stall(self):
         outcomes = [
             make_outcome(answered=True, stall_s=1.0, ended_s=2.0),
             make_outcome(answered=False, stall_s=0.0, ended_s=0.0),
@@ -29,9 +29,9 @@
         summary = summarize(DEPLOYMENT, [Result(outcomes, steps=1)])
         assert summary.stalls.mean == pytest.approx(3.5)
         whole_s = (1.0 + 2 * URGENT.answer_s) / 3
-        assert summary.whole.mean == pytest.approx(whole_s)
+        assert summary.penalized_stalls.mean == pytest.approx(whole_s)
 
-    def test_how_late_a_refusal_comes_is_a_share_of_the_time(self):
+    def test_rejection_time_is_a_share_of_the_answer_time(self):
         outcomes = [make_outcome(False, 6.0, 6.0), make_outcome(True, 0.0, 7.9)]
         summary = summarize(DEPLOYMENT, [Result(outcomes, steps=1)])
-        assert summary.told.p50 == pytest.approx(6.0 / URGENT.answer_s)
+        assert summary.rejection_times.p50 == pytest.approx(6.0 / URGENT.answer_s)
