--- a/bench/policy/report.py
+++ b/bench/policy/report.py
@@ -160,7 +160,7 @@
     print(
         "trace    policy       stall: mean    p50    p99 | urgent: mean    p50    p99"
         " | other: mean    p50    p99 | whole: mean    p99"
-        " | in time  urgent  batch  loads  back | told: p50   p99  rejected"
+        " | in time  urgent  batch  loads  back | told: p50   p99  refused"
     )
     for trace, by_policy in summaries.items():
         for policy, item in by_policy.items():
@@ -171,10 +171,12 @@
             rejected = " ".join(f"{kind}={n}" for kind, n in item.rejected.items())
             print(
                 f"{trace:8} {policy:11} {stalls}"
-                f" |       {item.penalized_stalls.mean:6.2f} {item.penalized_stalls.p99:6.2f}"
+                f" |       {item.penalized_stalls.mean:6.2f}"
+                f" {item.penalized_stalls.p99:6.2f}"
                 f" |   {item.in_time:.3f}   {item.urgent_in_time:.3f}"
                 f"  {item.batch:.3f}  {item.loads:5}  {item.recovery_s:4.0f}"
-                f" |     {item.rejection_times.p50:5.2f} {item.rejection_times.p99:5.2f}  {rejected}"
+                f" |     {item.rejection_times.p50:5.2f}"
+                f" {item.rejection_times.p99:5.2f}  {rejected}"
             )
 
 
--- a/bench/policy/simulation.py
+++ b/bench/policy/simulation.py
@@ -262,12 +262,14 @@
             case model.Refuse(request_id):
                 self._reject(host, effect, self._attempts_by_id[request_id])
             case model.AskTurn(adapter, value, waiting):
-                known = host.turn_ask is not None and host.turn_ask.adapter == adapter
+                is_update = (
+                    host.turn_ask is not None and host.turn_ask.adapter == adapter
+                )
                 host.turn_ask = TurnAsk(host.entry.id, adapter, value, waiting)
-                turn_ask = partial(
-                    self._turns.ask, host, host.turn_ask, 0 if known else 1
+                send_ask = partial(
+                    self._turns.ask, host, host.turn_ask, 0 if is_update else 1
                 )
-                self._clock.call_later(LINK_DELAY_S, turn_ask)
+                self._clock.call_later(LINK_DELAY_S, send_ask)
             case model.ReturnTurn(adapter):
                 host.turn_ask = None
                 self._turns.return_turn(host, adapter, 0)
@@ -374,8 +376,8 @@
         self._ownerless_endpoint = ""
         self._send_event(host, make_config(self._deployment, ready=False))
         self._report(host)
-        held, self._pending_attempts = self._pending_attempts, []
-        for attempt in held:
+        pending, self._pending_attempts = self._pending_attempts, []
+        for attempt in pending:
             self._submit(attempt)
         self._clock.call_later(LEASE_S, partial(self._become_ready, host))
 
--- a/bench/policy/summary.py
+++ b/bench/policy/summary.py
@@ -12,7 +12,7 @@
 
 URGENT = 0
 WINDOW_S = 10.0
-STEADY_TOLERANCE = 1.1
+STEADY_FACTOR = 1.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,15 +59,15 @@
 
     @property
     def recovery_s(self) -> float:
-        """Return when stalls are steady again after the change, in seconds.
+        """Return the recovery time of stalls after the change, in seconds.
 
-        That is the first window from which on the mean of three windows is
-        within 10% of the mean before the change, or infinite.
+        Stalls have recovered at the first window where the mean of three
+        windows is within 10% of the mean before the change; infinite if none.
         """
         change = int(CHANGE_STARTS_S // WINDOW_S)
         windows = self.stall_by_window
         before = [value for window, value in windows.items() if window < change]
-        limit = STEADY_TOLERANCE * _mean(before)
+        limit = STEADY_FACTOR * _mean(before)
         for window in sorted(windows):
             if window < change:
                 continue
