--- a/tests/fuzz/engines.py
+++ b/tests/fuzz/engines.py
@@ -1,4 +1,4 @@
-"""Fake endpoints on the virtual clock, and the driver that speaks to them."""
+"""Fake endpoints on the virtual clock, and the driver that calls them."""
 
 import asyncio
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
     RunningCall,
 )
 from fescuekeel.helpers.endpoint_http import LEASE_LOST
-from tests.fuzz.oracle import END, expect_token, expect_whole
+from tests.fuzz.oracle import END, make_token, make_whole_response
 
 __all__ = ["Engine", "FakeDriver"]
 
@@ -23,19 +23,22 @@
 
 @dataclass(eq=False)
 class EngineRun:
-    """One run of a request on an endpoint."""
+    """One run of a request on an endpoint.
+
+    ``delivery_s`` is how long the request took to arrive.
+    """
 
     request_id: str
     adapter: object
     tokens: int
-    began: float
-    flight_s: float
-    ended: float | None = None
-    broken: str = ""
+    started_at: float
+    delivery_s: float
+    ended_at: float | None = None
+    abort_reason: str = ""
 
 
 class Engine:
-    """An engine, or a plain service when it has no slots."""
+    """Fake engine, or fake plain service if its pool has no slots."""
 
     def __init__(self, world, id, data_centre, pool, load_s=0.3):
         self.world = world
@@ -45,17 +48,17 @@
         self.load_s = load_s
         self.incarnation = 1
         self.leaving_since = None
-        self.fail_loads = 0
+        self.load_failures_left = 0
         self.report_lag_s = 0.0
-        self.boots = 0
+        self.boot_count = 0
         self.runs = []
         self.restart()
 
     def restart(self):
-        """Start cold."""
+        """Abort all runs and start without loaded adapters."""
         for run in self.runs:
-            self._break(run, "restarted")
-        self.boots += 1
+            self._abort(run, "restarted")
+        self.boot_count += 1
         self.fence = 0
         self.loaded = set()
         self.loading = {}
@@ -65,16 +68,16 @@
 
     @property
     def running(self):
-        """Return what is unfinished, ending what is due first."""
+        """Return the unfinished runs, after ending those that are due."""
         now = self.world.now
         for run in self.runs:
-            if run.ended is None and now >= run.began + run.tokens * STEP_S:
-                run.ended = now
-        return [run for run in self.runs if run.ended is None]
+            if run.ended_at is None and now >= run.started_at + run.tokens * STEP_S:
+                run.ended_at = now
+        return [run for run in self.runs if run.ended_at is None]
 
-    def _break(self, run, reason):
-        if run.ended is None:
-            run.ended, run.broken = self.world.now, reason
+    def _abort(self, run, reason):
+        if run.ended_at is None:
+            run.ended_at, run.abort_reason = self.world.now, reason
 
     def _is_stale(self, fence):
         if not self.pool.fenced or not fence:
@@ -84,17 +87,17 @@
         self.fence = fence
         return False
 
-    def submit(self, call, written):
-        """Take a request in, or refuse it explicitly."""
+    def submit(self, call, written_at):
+        """Accept a request, or return the refusal."""
         if self._is_stale(call.fence):
             return Outcome.refused("stale", stale_fence=self.fence)
         if call.adapter and call.adapter not in self.loaded:
             return Outcome.refused("not_loaded", loaded=False)
         if len(self.running) >= 2 * self.pool.max_running:
             return Outcome.refused("full")
-        self.world.oracle.note_run(self, call, written)
+        self.world.oracle.note_run(self, call, written_at)
         now, tokens = self.world.now, max(1, call.max_tokens)
-        run = EngineRun(call.request_id, call.adapter, tokens, now, now - written)
+        run = EngineRun(call.request_id, call.adapter, tokens, now, now - written_at)
         self.runs.append(run)
         self.runs_by_id[call.request_id] = run
         return None
@@ -102,10 +105,10 @@
     def cancel(self, request_id):
         run = self.runs_by_id.get(request_id)
         if run is not None:
-            self._break(run, "cancelled")
+            self._abort(run, "cancelled")
 
     def begin_load(self, adapter, fence, reply):
-        """Load in the engine's own time."""
+        """Load an adapter, and reply after ``load_s``."""
         if self._is_stale(fence):
             reply(OrderOutcome(False, stale_fence=self.fence))
         elif adapter in self.loaded:
@@ -115,40 +118,42 @@
         else:
             self.loading.setdefault(adapter, []).append(reply)
             if len(self.loading[adapter]) == 1:
-                boot = self.boots
-                self.world.at(self.load_s, lambda: self._end_load(adapter, boot))
+                boot = self.boot_count
+                self.world.call_later(
+                    self.load_s, lambda: self._end_load(adapter, boot)
+                )
 
     def _end_load(self, adapter, boot):
-        if boot != self.boots:
+        if boot != self.boot_count:
             return
         replies = self.loading.pop(adapter)
-        ok = self.fail_loads == 0
-        self.fail_loads -= 0 if ok else 1
+        ok = self.load_failures_left == 0
+        self.load_failures_left -= 0 if ok else 1
         if ok:
             self.loaded.add(adapter)
         for reply in replies:
             reply(OrderOutcome(ok, self.load_s))
 
-    def evict(self, adapter, fence, written, owner):
-        """Obey at once, whatever that cuts."""
+    def evict(self, adapter, fence, written_at, owner):
+        """Evict at once, and abort the runs that use the adapter."""
         if self._is_stale(fence):
             return OrderOutcome(False, stale_fence=self.fence)
-        hit = [run for run in self.running if run.adapter == adapter]
-        if hit:
-            self.world.oracle.note_cut_by_eviction(self, hit, written, owner)
-        for run in hit:
-            self._break(run, "evicted")
+        affected = [run for run in self.running if run.adapter == adapter]
+        if affected:
+            self.world.oracle.note_eviction_in_use(self, affected, written_at, owner)
+        for run in affected:
+            self._abort(run, "evicted")
         self.loaded.discard(adapter)
         return OrderOutcome(True)
 
     def report(self):
-        """Return a report that is as old as the lag."""
+        """Return a report that may be up to ``report_lag_s`` old."""
         now = self.world.now
         running = tuple(
             RunningCall(run.request_id, run.adapter) for run in self.running
         )
         fresh = Report(
-            str(self.boots),
+            str(self.boot_count),
             self.fence,
             self.pool.max_running,
             frozenset(self.loaded),
@@ -162,10 +167,10 @@
 
 
 class FakeDriver:
-    """Speak to one endpoint as the real drivers do.
+    """Fake driver of one endpoint.
 
-    The guard is looked at right before an order is written; a written order
-    arrives even if its process stops, and possibly late.
+    The guard is checked right before an order is sent. An order that was sent
+    arrives even if its process stops, possibly late.
     """
 
     def __init__(self, world, node, engine):
@@ -175,28 +180,30 @@
         self.incarnation = engine.incarnation
 
     @property
-    def _cut(self):
-        # One that has come back has another address.
+    def _unreachable(self):
+        # An endpoint that has returned has a new address.
         moved = self.incarnation != self.engine.incarnation
         return self.node.dead or moved or self.world.is_cut(self.node, self.engine)
 
-    def _note_written(self):
+    def _note_order(self):
         self.world.oracle.note_order(self.engine, self.node)
         return self.world.now
 
-    async def _exchange(self, act, timeout_s):
-        """Send something and return the reply, or ``None`` without one."""
+    async def _exchange(self, callback, timeout_s):
+        """Send a message; return the reply, or ``None`` after the timeout."""
         future = self.node.loop.create_future()
 
         def reply(result):
-            self.world.to_node(self.node, 0.001, lambda: set_once(future, result))
+            self.world.to_node(
+                self.node, 0.001, lambda: set_result_once(future, result)
+            )
 
         def arrive():
             moved = self.incarnation != self.engine.incarnation
             if not moved and not self.world.is_cut(self.node, self.engine):
-                act(reply)
+                callback(reply)
 
-        self.world.at(self.world.order_delay(self.node, self.engine), arrive)
+        self.world.call_later(self.world.order_delay(self.node, self.engine), arrive)
         try:
             async with asyncio.timeout(timeout_s):
                 return await future
@@ -204,17 +211,17 @@
             return None
 
     async def dispatch(self, call, on_chunk):
-        if self._cut:
+        if self._unreachable:
             await asyncio.sleep(0.5)
             return Outcome.refused("cannot connect")
         if call.guard is not None and not call.guard():
             return Outcome.refused(LEASE_LOST)
-        written = self._note_written()
+        written_at = self._note_order()
         result = await self._exchange(
-            lambda reply: reply((self.engine.submit(call, written),)), SILENCE_S
+            lambda reply: reply((self.engine.submit(call, written_at),)), SILENCE_S
         )
         if result is None:
-            return await self._follow(call, 0, on_chunk, lost=True)
+            return await self._follow(call, 0, on_chunk, reply_lost=True)
         if result[0] is not None:
             return result[0]
         return await self._follow(call, 0, on_chunk)
@@ -224,18 +231,18 @@
             return Outcome.unknown("nothing is kept")
         return await self._follow(call, position, on_chunk)
 
-    async def _follow(self, call, position, on_chunk, lost=False):
-        """Read a run's answer; a stream outlasts broken connections."""
+    async def _follow(self, call, position, on_chunk, reply_lost=False):
+        """Read a run's response; a stream survives a lost connection."""
         until = self.world.now + call.remaining_s
-        silent = 0.0
+        silent_s = 0.0
         while self.world.now < until:
             await asyncio.sleep(POLL_S)
-            if self._cut or (lost and not call.stream):
-                silent += POLL_S
-                if not call.stream and silent > SILENCE_S:
+            if self._unreachable or (reply_lost and not call.stream):
+                silent_s += POLL_S
+                if not call.stream and silent_s > SILENCE_S:
                     break
                 continue
-            silent = 0.0
+            silent_s = 0.0
             run = self.engine.runs_by_id.get(call.request_id)
             if run is None:
                 break
@@ -244,29 +251,29 @@
                 position = self._read(call, run, position, on_chunk)
             if running:
                 continue
-            if run.broken:
+            if run.abort_reason:
                 break
             if call.stream:
                 on_chunk(position, END, 0)
             else:
-                on_chunk(0, expect_whole(call.request_id, run.adapter), 1)
+                on_chunk(0, make_whole_response(call.request_id, run.adapter), 1)
             return Outcome()
         if call.stream and position:
             return Outcome(Failure(ErrorKind.ANSWER_CUT), 502)
         return Outcome.unknown("cut")
 
     def _read(self, call, run, position, on_chunk):
-        until = self.world.now if run.ended is None else run.ended
-        made = min(run.tokens, int((until - run.began) / STEP_S + 1e-6))
-        if made > position:
-            tokens = range(position, made)
-            data = [expect_token(call.request_id, run.adapter, at) for at in tokens]
+        until = self.world.now if run.ended_at is None else run.ended_at
+        produced = min(run.tokens, int((until - run.started_at) / STEP_S + 1e-6))
+        if produced > position:
+            tokens = range(position, produced)
+            data = [make_token(call.request_id, run.adapter, at) for at in tokens]
             on_chunk(position, b"".join(data), len(tokens))
-        return max(position, made)
+        return max(position, produced)
 
     async def cancel(self, request_id):
-        if not self._cut:
-            self.world.at(0.001, lambda: self.engine.cancel(request_id))
+        if not self._unreachable:
+            self.world.call_later(0.001, lambda: self.engine.cancel(request_id))
 
     async def load(self, adapter, fence, timeout_s, guard):
         return await self._order(
@@ -279,23 +286,25 @@
         return await self._order(
             guard,
             timeout_s,
-            lambda reply, written: reply(
-                self.engine.evict(adapter, fence, written, self.node.id)
+            lambda reply, written_at: reply(
+                self.engine.evict(adapter, fence, written_at, self.node.id)
             ),
         )
 
-    async def _order(self, guard, timeout_s, act):
-        if self._cut:
+    async def _order(self, guard, timeout_s, callback):
+        if self._unreachable:
             await asyncio.sleep(0.5)
             return OrderOutcome(False, detail="cannot connect")
         if not guard():
             return OrderOutcome(False, detail=LEASE_LOST)
-        written = self._note_written()
-        outcome = await self._exchange(lambda reply: act(reply, written), timeout_s)
+        written_at = self._note_order()
+        outcome = await self._exchange(
+            lambda reply: callback(reply, written_at), timeout_s
+        )
         return outcome or OrderOutcome(False, unsure=True)
 
     async def report(self, timeout_s):
-        if self._cut:
+        if self._unreachable:
             await asyncio.sleep(timeout_s)
             return None
         return await self._exchange(
@@ -309,7 +318,7 @@
         pass
 
 
-def set_once(future, result):
-    """Answer a question that may have been given up."""
+def set_result_once(future, result):
+    """Set a future's result unless it is done, as after a timeout."""
     if not future.done():
         future.set_result(result)
--- a/tests/fuzz/loop.py
+++ b/tests/fuzz/loop.py
@@ -1,4 +1,4 @@
-"""An event loop without sockets whose clock is the fake world's."""
+"""An event loop without sockets that runs on a virtual clock."""
 
 import asyncio
 
@@ -6,14 +6,14 @@
 
 
 class NoSelector:
-    """Have nothing to wait for."""
+    """Selector that never has events."""
 
     def select(self, timeout):
         return []
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """Run the tasks of one process; a paused process is not turned."""
+    """Event loop of one fake process; a paused process's loop is not run."""
 
     def __init__(self, clock, skew_s=0.0):
         super().__init__()
@@ -25,7 +25,7 @@
         return self._clock()
 
     def time_ns(self):
-        """Return the wall clock, which may be wrong."""
+        """Return the wall-clock time, shifted by ``skew_s``."""
         return int((1_800_000_000 + self.time() + self.skew_s) * 1e9)
 
     def _process_events(self, events):
@@ -36,30 +36,30 @@
 
     @property
     def next_time(self):
-        """Return when there is something to do, ``inf`` for never."""
+        """Return when the next callback is due; ``inf`` without one."""
         if self._ready:
             return self.time()
         while self._scheduled and self._scheduled[0]._cancelled:
-            # The loop itself forgets these, but only when it turns.
-            self.turn()
+            # The loop removes cancelled timers only when it runs.
+            self.run_once()
             if self._ready:
                 return self.time()
         return self._scheduled[0].when() if self._scheduled else float("inf")
 
-    def turn(self):
-        """Run what is due now, once."""
+    def run_once(self):
+        """Run one iteration of the loop."""
         self.call_soon(self.stop)
         self.run_forever()
 
     def run_due(self):
-        """Run until nothing is due."""
+        """Run until no callback is due."""
         while self.next_time <= self.time():
-            self.turn()
+            self.run_once()
 
     def kill(self):
-        """End all tasks."""
+        """Cancel all tasks and close the loop."""
         while tasks := asyncio.all_tasks(self):
             for task in tasks:
                 task.cancel()
-            self.turn()
+            self.run_once()
         self.close()
--- a/tests/fuzz/network.py
+++ b/tests/fuzz/network.py
@@ -1,7 +1,7 @@
-"""Connections between fake processes, as the peers component keeps them.
+"""Fake peers component: connections between fake processes.
 
-One connection keeps the order of its messages, a lost one loses those that
-are under way, and nothing is sent twice.
+A connection delivers its messages in order. A lost connection drops the
+messages in flight, which are not sent again.
 """
 
 import itertools
@@ -19,32 +19,32 @@
 from fescuekeel.errors import ErrorKind, Failure, Ran
 from fescuekeel.messages import PeerLost, PeerMessage
 
-__all__ = ["Link"]
+__all__ = ["FakePeerLink"]
 
-# When the longest silence of a connection shows: one without a question.
-SILENT_S = IDLE_HEARTBEAT_S + HEARTBEAT_TIMEOUT_S
+# Longest time until a silent connection is detected: without open requests.
+MAX_SILENCE_S = IDLE_HEARTBEAT_S + HEARTBEAT_TIMEOUT_S
 UNREACHABLE = Err(Failure(ErrorKind.PEER_UNREACHABLE))
 UNSENT = Err(Failure(ErrorKind.PEER_UNREACHABLE, ran=Ran.NO))
 
 
 @dataclass(eq=False)
 class Connection:
-    """One connection; its messages are bound to the two processes."""
+    """A connection from one process to another."""
 
     opener: object
     peer: object
-    began: float
+    opened_at: float
     replaces: bool = False
-    attached: bool = False
+    established: bool = False
     lost: bool = False
-    asked: dict = field(default_factory=dict)
-    waiting: list = field(default_factory=list)
+    futures_by_number: dict = field(default_factory=dict)
+    queued: list = field(default_factory=list)
     unacked: list = field(default_factory=list)
-    arrivals: dict = field(default_factory=dict)
+    arrival_by_receiver: dict = field(default_factory=dict)
 
 
-class Link:
-    """Play the peers component of one process."""
+class FakePeerLink:
+    """Fake peers component of one process."""
 
     address = ""
 
@@ -53,8 +53,8 @@
         self.node = node
         self.incarnation = world.next_incarnation()
         self.connections_by_id = {}
-        self.questions = {}
-        self.own_asked = {}
+        self.requests_by_number = {}
+        self.own_futures_by_number = {}
         self.retry_at = {}
         self.numbers = itertools.count(1)
 
@@ -64,7 +64,7 @@
     async def stop(self):
         pass
 
-    # What components call.
+    # Interface for other components.
 
     def send(self, instance_id, body):
         if self.node.dead:
@@ -83,48 +83,48 @@
         if self.node.dead:
             return UNREACHABLE
         loop = self.node.loop
-        number, asked = next(self.numbers), loop.create_future()
+        number, future = next(self.numbers), loop.create_future()
         if instance_id == self.node.id:
-            waiting = self.own_asked
-            waiting[number] = asked
+            futures = self.own_futures_by_number
+            futures[number] = future
             loop.call_soon(self.receive, None, number, body)
         else:
             connection = self._connect(instance_id)
             if connection is None:
                 return UNSENT
-            waiting = connection.asked
-            waiting[number] = asked
+            futures = connection.futures_by_number
+            futures[number] = future
             self._put(connection, number, body)
-        timer = loop.call_later(timeout_s, resolve, asked, UNREACHABLE)
+        timer = loop.call_later(timeout_s, resolve, future, UNREACHABLE)
         try:
-            return await asked
+            return await future
         finally:
             timer.cancel()
-            waiting.pop(number, None)
+            futures.pop(number, None)
 
     def answer(self, question, body):
-        where = self.questions.pop(question.number, None)
-        if where is None or self.node.dead:
+        origin = self.requests_by_number.pop(question.number, None)
+        if origin is None or self.node.dead:
             return
-        connection, number = where
+        connection, number = origin
         if connection is None:
-            future = self.own_asked.get(number)
+            future = self.own_futures_by_number.get(number)
             if future is not None:
                 self.node.loop.call_soon(resolve, future, Success(body))
             return
 
         def arrive():
-            future = connection.asked.get(number)
+            future = connection.futures_by_number.get(number)
             if future is not None:
                 resolve(future, Success(body))
 
         self.world.transmit(connection, self.node, connection.opener, arrive)
 
-    # The wire.
+    # Transport.
 
     def _put(self, connection, number, body):
-        if not connection.attached:
-            connection.waiting.append((number, body))
+        if not connection.established:
+            connection.queued.append((number, body))
             return
         sent = [self.world.now]
         connection.unacked.append(sent)
@@ -139,7 +139,7 @@
         number = 0
         if wire_number:
             number = next(self.numbers)
-            self.questions[number] = (connection, wire_number)
+            self.requests_by_number[number] = (connection, wire_number)
         sender = self.node.id if connection is None else connection.opener.id
         self.deliver(PeerMessage(sender, number, body))
 
@@ -156,52 +156,52 @@
             return None
         connection = Connection(self.node, peer, now, replaces)
         self.connections_by_id[peer_id] = connection
-        self.node.loop.call_later(0.002, self._attach, connection)
+        self.node.loop.call_later(0.002, self._try_establish, connection)
         return connection
 
-    def _attach(self, connection):
-        """Attach when the other side answers, or give up in time."""
+    def _try_establish(self, connection):
+        """Establish a connection once the peer responds, or time out."""
         if self.connections_by_id.get(connection.peer.id) is not connection:
             return
-        peer, waited = connection.peer, self.world.now - connection.began
+        peer, waited = connection.peer, self.world.now - connection.opened_at
         cut = self.world.is_cut(self.node, peer)
         if not (peer.dead or peer.paused or cut):
-            connection.attached = True
-            for number, body in connection.waiting:
+            connection.established = True
+            for number, body in connection.queued:
                 self._put(connection, number, body)
-            connection.waiting.clear()
+            connection.queued.clear()
             if connection.replaces:
                 self.node.instance.bus.publish(PeerLost(peer.id, reachable=True))
             return
         limit = CONNECT_TIMEOUT_S if cut else HELLO_TIMEOUT_S
         if peer.dead or waited >= limit:
-            self.lose(connection)
+            self.handle_loss(connection)
             return
-        self.node.loop.call_later(0.1, self._attach, connection)
+        self.node.loop.call_later(0.1, self._try_establish, connection)
 
     def check(self):
-        """Give connections up that have gone silent."""
+        """Drop the connections whose messages stay unacknowledged."""
         for connection in list(self.connections_by_id.values()):
             oldest = min((sent[0] for sent in connection.unacked), default=None)
-            if oldest is not None and self.world.now - oldest > SILENT_S:
-                self.lose(connection)
+            if oldest is not None and self.world.now - oldest > MAX_SILENCE_S:
+                self.handle_loss(connection)
 
-    def forgive(self):
-        """Start to wait anew after a pause of this process itself."""
+    def restart_timeouts(self):
+        """Restart the timeouts after this process was paused."""
         for connection in self.connections_by_id.values():
             for sent in connection.unacked:
                 sent[0] = self.world.now
 
-    def lose(self, connection):
-        """Fail what was asked on a connection and try a new one."""
+    def handle_loss(self, connection):
+        """Fail a connection's open requests, and reconnect."""
         peer_id, now = connection.peer.id, self.world.now
         if self.connections_by_id.get(peer_id) is not connection or self.node.dead:
             return
         del self.connections_by_id[peer_id]
-        for asked in connection.asked.values():
-            resolve(asked, UNREACHABLE if connection.attached else UNSENT)
-        connection.asked.clear()
-        if connection.attached and now - connection.began > RETRY_S:
+        for future in connection.futures_by_number.values():
+            resolve(future, UNREACHABLE if connection.established else UNSENT)
+        connection.futures_by_number.clear()
+        if connection.established and now - connection.opened_at > RETRY_S:
             self._connect(peer_id, replaces=True)
             return
         self.retry_at[peer_id] = now + RETRY_S
@@ -209,6 +209,6 @@
 
 
 def resolve(future, result):
-    """Answer unless that has happened."""
+    """Set a future's result unless it is done."""
     if not future.done():
         future.set_result(result)
--- a/tests/fuzz/oracle.py
+++ b/tests/fuzz/oracle.py
@@ -1,4 +1,4 @@
-"""The oracle: it sees callers and endpoints only and knows the promises."""
+"""Oracle that checks the guarantees from what callers and endpoints see."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,141 +6,158 @@
 from fescuekeel.const import LEAVING_BOUND_S, OWNER_LEASE_S
 from fescuekeel.errors import ErrorKind, Ran
 
-__all__ = ["END", "Oracle", "Seen", "expect_token", "expect_whole"]
+__all__ = ["END", "CallerRecord", "Oracle", "make_token", "make_whole_response"]
 
 END = b"."
-# Each way takes a message a millisecond at least.
+# A message takes at least 1 ms each way.
 ROUND_TRIP_S = 0.0019
 LEASE_SLACK_S = 0.01
-# From the report that is read before an eviction to the order's arrival.
-ORDER_TRIP_S = 0.01
-CUTS = frozenset({ErrorKind.ANSWER_CUT, ErrorKind.OUTCOME_UNKNOWN})
+# From the report on which an eviction is based to the arrival of its order.
+EVICTION_TRIP_S = 0.01
+CUT_ERRORS = frozenset({ErrorKind.ANSWER_CUT, ErrorKind.OUTCOME_UNKNOWN})
 
 
-def expect_token(request_id, adapter, position):
-    """Return one token of the one right answer."""
+def make_token(request_id, adapter, position):
+    """Return one token of the expected stream."""
     return f"<{request_id} {adapter} {position}>".encode()
 
 
-def expect_whole(request_id, adapter):
-    """Return the one right answer that comes in one piece."""
+def make_whole_response(request_id, adapter):
+    """Return the expected response of a request that does not stream."""
     return f"<{request_id} {adapter}>".encode()
 
 
 @dataclass(eq=False)
-class Seen:
-    """What a caller sent and received."""
+class CallerRecord:
+    """What one caller sent and received.
+
+    ``outcome`` is empty until the response ends.
+    """
 
     request_id: str
     adapter: object
     repeatable: bool
     stream: bool
     tokens: int
-    began: float
+    started_at: float
     data: bytes = b""
-    ended: str = ""
-    told: Ran | None = None
-    gone: bool = False
+    outcome: str = ""
+    reported_ran: Ran | None = None
+    caller_left: bool = False
     runs: list = field(default_factory=list)
 
     @property
     def expected(self):
-        """Return the whole answer."""
+        """Return the expected complete response."""
         if not self.stream:
-            return expect_whole(self.request_id, self.adapter)
+            return make_whole_response(self.request_id, self.adapter)
         ids = range(self.tokens)
-        tokens = [expect_token(self.request_id, self.adapter, at) for at in ids]
+        tokens = [make_token(self.request_id, self.adapter, at) for at in ids]
         return b"".join(tokens) + END
 
 
 class Oracle:
-    """Hold what was seen, and each broken promise."""
+    """Records what callers and endpoints see, and each violation."""
 
     def __init__(self, world):
         self.world = world
-        self.seen_by_id = {}
+        self.records_by_id = {}
         self.faults = []
         self.violations = []
         self.counts = Counter()
 
-    def check(self, holds, promise, *details):
-        """Note a broken promise; raising inside a task would be lost."""
+    def check(self, holds, guarantee, *details):
+        """Record a violation; an exception in a task would be lost."""
         if not holds:
-            self.violations.append(f"{promise}: {details} at {self.world.now:.3f}")
+            self.violations.append(f"{guarantee}: {details} at {self.world.now:.3f}")
 
     def note_fault(self, name):
-        """Note a fault, which excuses answers that are cut."""
+        """Record a fault, which permits cut responses for a while."""
         self.faults.append((self.world.now, name))
 
-    # What endpoints show.
+    # Seen by endpoints.
 
-    def note_run(self, engine, call, written):
-        seen = self.seen_by_id[call.request_id]
-        seen.runs.append(engine.id)
+    def note_run(self, engine, call, written_at):
+        record = self.records_by_id[call.request_id]
+        record.runs.append(engine.id)
         self.counts["run"] += 1
-        self.check(call.adapter == seen.adapter, "wrong adapter", seen)
-        self.check(seen.told is not Ran.NO, "ran after 'not run'", seen)
-        once = seen.repeatable or len(seen.runs) == 1
-        self.check(once, "a non-repeatable request ran twice", seen)
+        self.check(call.adapter == record.adapter, "ran on the wrong adapter", record)
+        self.check(
+            record.reported_ran is not Ran.NO,
+            "ran after it was reported as not run",
+            record,
+        )
+        once = record.repeatable or len(record.runs) == 1
+        self.check(once, "a non-repeatable request ran twice", record)
         if engine.leaving_since is not None:
-            late = written - engine.leaving_since
-            # An endpoint that reports late is heard that much later.
+            late = written_at - engine.leaving_since
+            # A lagging report delays the news that the endpoint leaves.
             bound = LEAVING_BOUND_S + engine.report_lag_s
-            self.check(late <= bound, "new work for a leaving endpoint", seen, late)
+            self.check(late <= bound, "new work for a leaving endpoint", record, late)
 
     def note_order(self, engine, node):
-        """Look at an order that an owner writes."""
+        """Check that an owner which sends an order holds the lease."""
         now = self.world.now
         paused_s = node.woke_at - node.paused_at
-        # Before a report could have come, it can only be the old lease.
+        # No report can have renewed the lease since the pause yet.
         is_early = now - node.woke_at < ROUND_TRIP_S
         held = is_early and paused_s > OWNER_LEASE_S + LEASE_SLACK_S
-        self.check(not held, "ordered under a lease that is over", engine.id, node.id)
+        self.check(not held, "order sent after the lease expired", engine.id, node.id)
         if engine.pool.fenced or not engine.pool.slots:
             return
-        for other in self.world.list_leases(engine):
-            # It was not there before the pause, to be handed over to.
+        for other in self.world.list_paused_lease_holders(engine):
+            # A node that started after the pause cannot have got a handover.
             late = other.paused_at < node.started
-            self.check(not late, "ordered beside a lease", engine.id, node.id, other.id)
-
-    def note_cut_by_eviction(self, engine, runs, written, owner):
+            self.check(
+                not late,
+                "order sent during another owner's lease",
+                engine.id,
+                node.id,
+                other.id,
+            )
+
+    def note_eviction_in_use(self, engine, runs, written_at, owner):
         ids = [run.request_id for run in runs]
-        flight_s = self.world.now - written
+        delivery_s = self.world.now - written_at
         if engine.pool.fenced:
-            self.check(False, "evicted while serving", engine.id, ids, owner, flight_s)
-        # The widths that docs/PROOF.md allows: an order that was under way for
-        # longer than a lease, and two owners that do not know of each other,
-        # where the report, as old as its lag, did not show the other's work.
-        flights = [flight_s, *(run.flight_s for run in runs)]
-        age_s = max(self.world.now - run.began for run in runs)
-        is_hidden = age_s <= engine.report_lag_s + ORDER_TRIP_S
+            self.check(
+                False, "evicted while serving", engine.id, ids, owner, delivery_s
+            )
+        # docs/PROOF.md permits two cases: an order in flight for longer than a
+        # lease, and two owners that do not know of each other, where the
+        # lagging report did not show the other's run yet.
+        deliveries = [delivery_s, *(run.delivery_s for run in runs)]
+        age_s = max(self.world.now - run.started_at for run in runs)
+        is_hidden = age_s <= engine.report_lag_s + EVICTION_TRIP_S
         is_split = self.world.is_split(engine)
         self.counts["unfenced_cut"] += 1
-        excused = max(flights) > OWNER_LEASE_S or (is_split and is_hidden)
-        details = ids, owner, flights, age_s
+        excused = max(deliveries) > OWNER_LEASE_S or (is_split and is_hidden)
+        details = ids, owner, deliveries, age_s
         self.check(excused, "evicted while serving, unfenced", *details)
 
-    # What callers receive.
+    # Received by callers.
 
-    def note_data(self, seen, data):
-        self.check(not seen.ended, "data after the end", seen)
-        seen.data += data
-        right = seen.expected.startswith(seen.data)
-        self.check(right, "not the caller's own answer, in order, once", seen)
+    def note_data(self, record, data):
+        self.check(not record.outcome, "data after the end of the response", record)
+        record.data += data
+        right = record.expected.startswith(record.data)
+        self.check(right, "the data is not a prefix of the expected response", record)
 
-    def note_finish(self, seen):
-        self.check(not seen.ended, "ended twice", seen)
-        seen.ended = "answered"
+    def note_finish(self, record):
+        self.check(not record.outcome, "the response ended twice", record)
+        record.outcome = "answered"
         self.counts["answered"] += 1
-        self.check(seen.data == seen.expected, "not the whole answer", seen)
+        self.check(
+            record.data == record.expected, "the response is not complete", record
+        )
 
-    def note_failure(self, seen, failure):
-        self.check(not seen.ended, "ended twice", seen)
-        seen.ended, seen.told = failure.kind.value, failure.outcome
+    def note_failure(self, record, failure):
+        self.check(not record.outcome, "the response ended twice", record)
+        record.outcome, record.reported_ran = failure.kind.value, failure.outcome
         self.counts[f"{failure.kind.value}.{failure.outcome.value}"] += 1
         if failure.outcome is Ran.NO:
-            self.check(not seen.runs, "'not run' is untrue", seen)
-        if failure.kind in CUTS:
-            recent = any(at >= seen.began - 15.0 for at, _ in self.faults)
-            excused = recent or self.world.is_disturbed
-            self.check(excused, "an answer was cut without a fault", seen, failure)
+            self.check(not record.runs, "reported as not run, but it ran", record)
+        if failure.kind in CUT_ERRORS:
+            recent = any(at >= record.started_at - 15.0 for at, _ in self.faults)
+            excused = recent or self.world.has_lasting_fault
+            self.check(excused, "a response was cut without a fault", record, failure)
--- a/tests/fuzz/test_requests.py
+++ b/tests/fuzz/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests over owners: several instances, their failures, and the oracle."""
+"""Fuzz requests to several instances under faults, checked by an oracle."""
 
 from collections import Counter
 from random import Random, seed
@@ -13,22 +13,22 @@
     rule,
 )
 
-from tests.fuzz.world import ADAPTERS, OLD, SCRIPT, STORE, World
+from tests.fuzz.world import ADAPTERS, FENCED_POOL, PLAIN_POOL, UNFENCED_POOL, World
 
 RUNNING_GRACE_S = 30.0
 MOST_NODES = 6
-# The place of the endpoint without fencing.
-UNFENCED = 2
+# Index of the endpoint without fencing.
+UNFENCED_INDEX = 2
 steps = st.sampled_from([0.02, 0.1, 0.5, 1.5, 3.0, 6.0])
 stalls = st.sampled_from([0.0, 0.3, 2.0, 8.0])
-# A message takes a millisecond: so a pause hits between question and order.
+# A message takes 1 ms, so these pause between a request and its order.
 gaps = st.sampled_from([0.0005, 0.0015, 0.0025, 0.0035])
 seeds = st.integers(0, 999)
 picks = st.integers(0, 7)
 
 
 class Fleet(RuleBasedStateMachine):
-    """Instances in two data centres, two fenced engines, one that is not."""
+    """Instances in two data centres, with fenced and unfenced engines."""
 
     totals: ClassVar = Counter()
 
@@ -39,10 +39,10 @@
     @initialize()
     def begin(self):
         world = self.world
-        world.add_engine("e1", "dc1", SCRIPT)
-        world.add_engine("e2", "dc2", SCRIPT)
-        world.add_engine("u1", "dc1", OLD)
-        world.add_engine("p1", "dc1", STORE)
+        world.add_engine("e1", "dc1", FENCED_POOL)
+        world.add_engine("e2", "dc2", FENCED_POOL)
+        world.add_engine("u1", "dc1", UNFENCED_POOL)
+        world.add_engine("p1", "dc1", PLAIN_POOL)
         for data_centre in ("dc1", "dc1", "dc2"):
             world.add_node(data_centre)
         world.advance(8.0)
@@ -58,12 +58,21 @@
     # Callers and time.
 
     def submit(self, random):
-        """Send one request of any kind to an instance that runs."""
+        """Send a random request to an instance that is not paused."""
         if all(node.paused for node in self.world.live_nodes):
             return
         self.world.submit(
             random.choice([node for node in self.world.live_nodes if not node.paused]),
-            random.choice([SCRIPT, SCRIPT, SCRIPT, OLD, OLD, STORE]),
+            random.choice(
+                [
+                    FENCED_POOL,
+                    FENCED_POOL,
+                    FENCED_POOL,
+                    UNFENCED_POOL,
+                    UNFENCED_POOL,
+                    PLAIN_POOL,
+                ]
+            ),
             random.choice(ADAPTERS),
             repeatable=random.random() < 0.5,
             stream=random.random() < 0.5,
@@ -73,11 +82,13 @@
 
     @rule(pick=st.integers(0, 99))
     def caller_leaves(self, pick):
-        open_ones = [
-            seen for seen in self.world.oracle.seen_by_id.values() if not seen.ended
+        open_records = [
+            record
+            for record in self.world.oracle.records_by_id.values()
+            if not record.outcome
         ]
-        if open_ones:
-            self.world.leave(open_ones[pick % len(open_ones)])
+        if open_records:
+            self.world.disconnect_caller(open_records[pick % len(open_records)])
 
     @rule(seconds=steps, per_s=st.sampled_from([0, 1, 4]), seed=seeds)
     def serve(self, seconds, per_s, seed):
@@ -116,7 +127,7 @@
 
     @rule(pick=picks, paused_s=steps, stall_s=stalls, gap_s=gaps, seed=seeds)
     def pause_owner(self, pick, paused_s, stall_s, gap_s, seed):
-        """Pause an owner in mid-work; orders of it may still be under way."""
+        """Pause a busy owner whose orders may still be in flight."""
         engine, node = self.owner(pick)
         self.serve(0.5, 8, seed)
         if stall_s:
@@ -128,7 +139,7 @@
         self.serve(0.3, 8, seed)
 
     def pause_in_exchange(self, node, gap_s, seed):
-        """Pause a process while its questions are under way."""
+        """Pause a process while its requests to peers are in flight."""
         random = Random(seed)
         for _ in range(5):
             self.submit(random)
@@ -137,7 +148,7 @@
 
     @rule(pick=picks, seed=seeds, is_graceful=st.booleans())
     def replace_owner(self, pick, seed, is_graceful):
-        """Take an owner away in mid-work."""
+        """Add an instance, and drain or kill a busy owner."""
         _, node = self.owner(pick)
         self.world.add_node(node.data_centre)
         self.serve(0.5, 8, seed)
@@ -149,7 +160,7 @@
 
     @rule(pick=picks, seed=seeds)
     def drop_owners_connections(self, pick, seed):
-        """Lose what is under way to and from an owner in mid-work."""
+        """Drop a busy owner's connections and the messages in flight."""
         self.serve(0.3, 10, seed)
         node = self.owner(pick)[1]
         for peer in self.world.live_nodes:
@@ -159,9 +170,9 @@
     @precondition(lambda self: len(self.world.live_nodes) < MOST_NODES)
     @rule(pick=picks, fresh=st.integers(1, 2), paused_s=steps, gap_s=gaps, seed=seeds)
     def start_beside_paused_owner(self, pick, fresh, paused_s, gap_s, seed):
-        """Let fresh processes take over whose paused owner has work to do."""
-        # Most often that of the one whose owners have but their lease.
-        _, node = self.owner(pick if pick < 4 else UNFENCED)
+        """Start instances that take over from a paused busy owner."""
+        # Prefers the unfenced endpoint, which only the lease protects.
+        _, node = self.owner(pick if pick < 4 else UNFENCED_INDEX)
         self.serve(0.5, 8, seed)
         self.pause_in_exchange(node, gap_s, seed)
         for _ in range(fresh):
@@ -200,14 +211,14 @@
 
     @rule(pick=picks, seed=seeds)
     def restart_engine(self, pick, seed):
-        """Restart an endpoint that runs and loads."""
+        """Restart an endpoint while it runs requests and loads adapters."""
         self.serve(0.3, 20, seed)
         self.world.oracle.note_fault("restart")
         self.engine(pick).restart()
 
     @rule(pick=picks, count=st.integers(1, 3))
     def fail_loads(self, pick, count):
-        self.engine(pick).fail_loads = count
+        self.engine(pick).load_failures_left = count
 
     @rule(pick=picks, lag_s=st.sampled_from([0.0, 0.5, 2.0]))
     def lag_reports(self, pick, lag_s):
@@ -229,7 +240,7 @@
         self.world.list_frozen = frozen
 
     def teardown(self):
-        """Heal all: each caller hears the end, and new requests are served."""
+        """End all faults, and check that every response ends."""
         try:
             if self.world.nodes_by_id:
                 self._recover()
@@ -246,20 +257,16 @@
         for node in world.live_nodes:
             world.wake(node)
         for engine in world.engines_by_id.values():
-            engine.report_lag_s, engine.fail_loads = 0.0, 0
+            engine.report_lag_s, engine.load_failures_left = 0.0, 0
         world.advance(8.0 + RUNNING_GRACE_S + 10.0)
-        for seen in world.oracle.seen_by_id.values():
-            heard = seen.ended or seen.gone or seen.node.killed
-            world.oracle.check(heard, "a caller never heard the end", seen)
+        for record in world.oracle.records_by_id.values():
+            settled = record.outcome or record.caller_left or record.node.killed
+            world.oracle.check(settled, "a response never ended", record)
 
 
 class TestGracefulShutdown:
     def test_replacing_one_after_the_other_cuts_nothing(self):
-        """Each owner is replaced in mid-work, as in a rolling update.
-
-        A caller would see an answer that is cut or unknown, or never hear the
-        end, although nothing failed.
-        """
+        """Guards against cut or lost responses during a rolling update."""
         for number in range(3):
             seed(number)
             fleet = Fleet()
--- a/tests/fuzz/world.py
+++ b/tests/fuzz/world.py
@@ -1,4 +1,4 @@
-"""A fake world around the real components of several instances."""
+"""Simulated network and platform for the real components of instances."""
 
 import asyncio
 import heapq
@@ -28,18 +28,18 @@
 from tests.common import make_settings
 from tests.fuzz.engines import Engine, FakeDriver
 from tests.fuzz.loop import VirtualLoop
-from tests.fuzz.network import Link
-from tests.fuzz.oracle import Oracle, Seen
+from tests.fuzz.network import FakePeerLink
+from tests.fuzz.oracle import CallerRecord, Oracle
 
 __all__ = ["ADAPTERS", "Node", "World"]
 
 LIST_LAG_S = 4.0
 CHECK_S = 0.2
 ADAPTERS = [AdapterRef("cups", "1"), AdapterRef("cups", "2"), AdapterRef("rope", "1")]
-SCRIPT = Pool("script", PoolKind.ENGINE, True, 2, 3, 0.1, 0.3)
-OLD = Pool("old", PoolKind.ENGINE, False, 2, 3, 0.1, 0.3)
-STORE = Pool("store", PoolKind.PLAIN, False, 0, 3)
-POOLS_BY_NAME = {pool.name: pool for pool in (SCRIPT, OLD, STORE)}
+FENCED_POOL = Pool("script", PoolKind.ENGINE, True, 2, 3, 0.1, 0.3)
+UNFENCED_POOL = Pool("old", PoolKind.ENGINE, False, 2, 3, 0.1, 0.3)
+PLAIN_POOL = Pool("store", PoolKind.PLAIN, False, 0, 3)
+POOLS_BY_NAME = {pool.name: pool for pool in (FENCED_POOL, UNFENCED_POOL, PLAIN_POOL)}
 ERROR_COUNTERS = frozenset({"task_error", "owner.run_error", "stop_timeout"})
 DOMAINS = ("peers", "membership", "turns", "owner", "gateway")
 real_setups = (
@@ -49,8 +49,8 @@
 )
 
 
-class Intent:
-    """A tree that only names pools; callers bring their policies."""
+class FakeIntent:
+    """Tree with pools only; each request comes with its policy."""
 
     revision = 1
     pools_by_name = POOLS_BY_NAME
@@ -62,8 +62,8 @@
         return Err(Failure(ErrorKind.UNKNOWN_SERVICE))
 
 
-class Keys:
-    """Grant each key."""
+class FakeKeys:
+    """Fake keys component that grants every claim."""
 
     async def claim(self, key, request_id, digest, lifetime_s):
         return Success(None)
@@ -72,8 +72,8 @@
         pass
 
 
-class Server:
-    """Stand where the callers' port is."""
+class FakeServer:
+    """Fake server of the callers' port."""
 
     address = ""
 
@@ -87,31 +87,31 @@
         pass
 
 
-class Sink:
-    """Show the oracle what one caller receives."""
+class RecordingSink:
+    """Passes what one caller receives to the oracle."""
 
-    def __init__(self, oracle, seen):
+    def __init__(self, oracle, record):
         self.oracle = oracle
-        self.seen = seen
+        self.record = record
 
     async def deliver(self, data, head):
-        if not self.seen.gone:
-            self.oracle.note_data(self.seen, data)
-        return not self.seen.gone
+        if not self.record.caller_left:
+            self.oracle.note_data(self.record, data)
+        return not self.record.caller_left
 
     async def finish(self, head):
-        if not self.seen.gone:
-            self.oracle.note_finish(self.seen)
+        if not self.record.caller_left:
+            self.oracle.note_finish(self.record)
         return True
 
     async def fail(self, failure):
-        if not self.seen.gone:
-            self.oracle.note_failure(self.seen, failure)
+        if not self.record.caller_left:
+            self.oracle.note_failure(self.record, failure)
         return True
 
 
 class Node:
-    """One process: the real components on a loop of its own."""
+    """One fake process: the real components on their own event loop."""
 
     def __init__(self, world, id, data_centre):
         self.world = world
@@ -125,44 +125,44 @@
         settings = make_settings(id, data_centre)
         self.instance = Instance(settings, clock=lambda: world.now)
         self.started = world.now
-        self.link = Link(world, self)
+        self.link = FakePeerLink(world, self)
         components = self.instance.components_by_domain
         components["peers"] = self.link
-        components["keys"] = Keys()
-        self.instance.bus.publish_state(TreeInForce(Intent()))
+        components["keys"] = FakeKeys()
+        self.instance.bus.publish_state(TreeInForce(FakeIntent()))
         self.instance.bus.publish_state(world.live_list)
         for domain in DOMAINS[1:-1]:
             components[domain] = REGISTRY.setups_by_domain[domain](self.instance)
         self.gateway = components["gateway"] = Gateway(self.instance)
-        self.gateway.server = Server()
+        self.gateway.server = FakeServer()
         self.loop.create_task(self._start())
 
     async def _start(self):
         for domain in DOMAINS:
             await self.instance.components_by_domain[domain].start()
-        self._check(self.world.now)
+        self._check_periodically(self.world.now)
 
-    def _check(self, last):
-        """Do what the link's and the live list's own tasks do."""
+    def _check_periodically(self, last):
+        """Check the connections and read the live list periodically."""
         now = self.world.now
         if now - last > 2 * CHECK_S:
-            self.link.forgive()
+            self.link.restart_timeouts()
         self.link.check()
         listed = self.world.read_list(self)
         if listed != self.instance.bus.latest(LiveList):
             self.instance.bus.publish_state(listed)
-        self.loop.call_later(CHECK_S, self._check, now)
+        self.loop.call_later(CHECK_S, self._check_periodically, now)
 
     async def drain(self):
         """Shut down gracefully."""
         self.instance.draining = True
         for domain in reversed(DOMAINS):
             await self.instance.components_by_domain[domain].stop()
-        self.world.at(0.0, lambda: self.world.kill(self))
+        self.world.call_later(0.0, lambda: self.world.kill(self))
 
 
 class World:
-    """Virtual time, the network, the platform and all processes."""
+    """Simulation of time, the network, the platform and all processes."""
 
     def __init__(self):
         self.now = 0.0
@@ -172,12 +172,12 @@
         self.incarnations = itertools.count(1000)
         self.nodes_by_id = {}
         self.engines_by_id = {}
-        self.cut_off = set()
-        self.held = []
+        self.cut_centres = set()
+        self.held_messages = []
         self.delays = {}
-        self.stalls = {}
+        self.stalled_until = {}
         self.list_frozen = None
-        self.lists = [(-100.0, LiveList())]
+        self.list_history = [(-100.0, LiveList())]
         self.patches = [
             patch.dict(
                 DRIVERS.factories_by_kind,
@@ -190,13 +190,13 @@
 
     # Time.
 
-    def at(self, delay_s, act):
-        """Do something after a delay."""
-        entry = (self.now + delay_s, next(self.numbers), act)
+    def call_later(self, delay_s, callback):
+        """Schedule a callback after a delay."""
+        entry = (self.now + delay_s, next(self.numbers), callback)
         heapq.heappush(self.events, entry)
 
     def advance(self, seconds):
-        """Let time pass."""
+        """Advance the virtual time, and run what becomes due."""
         until = self.now + seconds
         while True:
             for node in list(self.nodes_by_id.values()):
@@ -206,7 +206,7 @@
             if due > until:
                 self.now = until
                 return
-            # Timers never fire early: on a real clock some time has passed.
+            # Timers fire slightly late, as on a real clock.
             self.now = max(self.now, due + 1e-6)
             while self.events and self.events[0][0] <= self.now:
                 heapq.heappop(self.events)[2]()
@@ -222,74 +222,76 @@
         return min(times, default=float("inf"))
 
     def time_ns(self):
-        """Return the wall clock of the process that asks."""
+        """Return the wall-clock time of the running process."""
         return asyncio.get_running_loop().time_ns()
 
     # The network.
 
     def is_cut(self, one, two):
-        places = {one.data_centre, two.data_centre}
-        return len(places) > 1 and bool(places & self.cut_off)
+        centres = {one.data_centre, two.data_centre}
+        return len(centres) > 1 and bool(centres & self.cut_centres)
 
-    def transmit(self, connection, sender, receiver, act):
-        """Send a message over a connection, which keeps the order."""
+    def transmit(self, connection, sender, receiver, callback):
+        """Deliver a message over a connection, in order."""
         delay_s = self.delays.get((sender.id, receiver.id), 0.001)
-        earliest = connection.arrivals.get(receiver.id, 0.0)
+        earliest = connection.arrival_by_receiver.get(receiver.id, 0.0)
         arrival = max(self.now + delay_s, earliest)
-        connection.arrivals[receiver.id] = arrival
+        connection.arrival_by_receiver[receiver.id] = arrival
 
         def arrive():
             if connection.lost:
                 return
             if self.is_cut(sender, receiver):
-                self.held.append((connection, receiver, act))
+                self.held_messages.append((connection, receiver, callback))
                 return
-            self._put(receiver, act)
+            self._put(receiver, callback)
 
-        self.at(arrival - self.now, arrive)
+        self.call_later(arrival - self.now, arrive)
 
-    def to_node(self, node, delay_s, act):
-        """Bring an endpoint's reply to a process."""
-        self.at(delay_s, lambda: self._put(node, act))
+    def to_node(self, node, delay_s, callback):
+        """Deliver an endpoint's reply to a process."""
+        self.call_later(delay_s, lambda: self._put(node, callback))
 
-    def _put(self, node, act):
+    def _put(self, node, callback):
         if node.dead:
             return
         if node.paused:
-            node.inbox.append(act)
+            node.inbox.append(callback)
             return
-        node.loop.call_soon(act)
+        node.loop.call_soon(callback)
 
     def cut(self, data_centre):
-        self.cut_off.add(data_centre)
+        self.cut_centres.add(data_centre)
         self.oracle.note_fault("cut")
 
     def heal(self, deliver):
-        """End all cuts; bytes that were resent may arrive, late."""
-        if self.cut_off:
+        """End all cuts, and deliver or drop the messages held back."""
+        if self.cut_centres:
             self.oracle.note_fault("heal")
-        self.cut_off.clear()
-        for connection, receiver, act in self.held:
+        self.cut_centres.clear()
+        for connection, receiver, callback in self.held_messages:
             if deliver and not connection.lost:
-                self._put(receiver, act)
-        self.held.clear()
+                self._put(receiver, callback)
+        self.held_messages.clear()
 
     def drop_connections(self, one, two):
-        """Lose what is under way between two processes."""
+        """Drop the connections between two processes."""
         self.oracle.note_fault("drop")
         for node, peer in ((one, two), (two, one)):
             connection = node.link.connections_by_id.get(peer.id)
             if connection is not None:
                 connection.lost = True
-                self._put(node, lambda node=node, c=connection: node.link.lose(c))
+                self._put(
+                    node, lambda node=node, c=connection: node.link.handle_loss(c)
+                )
 
     def stall_orders(self, node, engine, seconds):
-        """Hold orders on their way to an endpoint."""
+        """Delay a process's orders to an endpoint."""
         self.oracle.note_fault("stall")
-        self.stalls[node.id, engine.id] = self.now + seconds
+        self.stalled_until[node.id, engine.id] = self.now + seconds
 
     def order_delay(self, node, engine):
-        until = self.stalls.get((node.id, engine.id), 0.0)
+        until = self.stalled_until.get((node.id, engine.id), 0.0)
         return max(0.001, until - self.now)
 
     # Processes.
@@ -308,11 +310,11 @@
         return [node for node in self.nodes_by_id.values() if not node.dead]
 
     @property
-    def is_disturbed(self):
-        """Tell whether some fault lasts."""
+    def has_lasting_fault(self):
+        """Return whether a fault is active now."""
         paused = any(node.paused for node in self.live_nodes)
         slow = any(delay_s > 0.01 for delay_s in self.delays.values())
-        return paused or slow or bool(self.cut_off)
+        return paused or slow or bool(self.cut_centres)
 
     def pause(self, node):
         self.oracle.note_fault("pause")
@@ -325,8 +327,8 @@
             self.oracle.note_fault("wake")
             node.woke_at = self.now
         node.paused = False
-        for act in node.inbox:
-            node.loop.call_soon(act)
+        for callback in node.inbox:
+            node.loop.call_soon(callback)
         node.inbox.clear()
 
     def kill(self, node, is_fault=False):
@@ -342,10 +344,10 @@
         for peer in self.live_nodes:
             connection = peer.link.connections_by_id.get(node.id)
             if connection is not None and not self.is_cut(peer, node):
-                self._put(peer, lambda p=peer, c=connection: p.link.lose(c))
+                self._put(peer, lambda p=peer, c=connection: p.link.handle_loss(c))
 
     def note_errors(self, node):
-        """Let the oracle see tasks that failed inside a process."""
+        """Pass a process's counters to the oracle, which rejects errors."""
         for name, count in node.instance.metrics.counters_by_name.items():
             self.oracle.counts[f"metric.{name}"] += count
             failed = name.startswith("actor_error") or name in ERROR_COUNTERS
@@ -367,7 +369,7 @@
         return FakeDriver(self, self.nodes_by_id[instance.id], engine)
 
     def list_owners(self, engine):
-        """Return the processes that believe they own an endpoint."""
+        """Return the processes in whose state they own an endpoint."""
         found = []
         for node in self.live_nodes:
             owners = node.instance.components_by_domain["owner"].owners_by_endpoint
@@ -377,15 +379,15 @@
         return found
 
     def is_split(self, engine):
-        """Tell whether two believe to own who do not know of each other."""
+        """Return whether an owner is missing from another owner's view."""
         pairs = itertools.permutations(self.list_owners(engine), 2)
         return any(
             two.id not in one.instance.bus.latest(MemberView).members_by_id
             for one, two in pairs
         )
 
-    def list_leases(self, engine):
-        """Return the paused ones whose lease of an endpoint still runs."""
+    def list_paused_lease_holders(self, engine):
+        """Return the paused owners whose lease of an endpoint is valid."""
         paused = [node for node in self.list_owners(engine) if node.paused]
         return [
             node
@@ -412,52 +414,58 @@
                     engine.pool.name,
                 )
             )
-        self.lists.append((self.now, LiveList({item.id: item for item in entries})))
+        self.list_history.append(
+            (self.now, LiveList({item.id: item for item in entries}))
+        )
 
     @property
     def live_list(self):
-        """Return the list as it is shown now, which lags."""
+        """Return the live list as published now, which lags."""
         shown = self.now - LIST_LAG_S if self.now > LIST_LAG_S else self.now
-        return [item for at, item in self.lists if at <= shown][-1]
+        return [item for at, item in self.list_history if at <= shown][-1]
 
     def read_list(self, node):
-        """Return what a process reads, or its old list if it cannot read."""
-        if self.list_frozen or node.data_centre in self.cut_off:
+        """Return the list that a process reads, or its last one."""
+        if self.list_frozen or node.data_centre in self.cut_centres:
             return node.instance.bus.latest(LiveList)
         return self.live_list
 
     # Callers.
 
     def submit(self, node, pool, adapter, repeatable, stream, tokens, answer_s):
-        """Send a request to an entry instance."""
-        number = len(self.oracle.seen_by_id) + 1
+        """Send a request to an instance."""
+        number = len(self.oracle.records_by_id) + 1
         adapter = AdapterRef() if pool.kind is PoolKind.PLAIN else adapter
         stream = stream and pool.kind is PoolKind.ENGINE
-        seen = Seen(f"r{number}", adapter, repeatable, stream, tokens, self.now)
-        seen.node = node
-        self.oracle.seen_by_id[seen.request_id] = seen
+        record = CallerRecord(
+            f"r{number}", adapter, repeatable, stream, tokens, self.now
+        )
+        record.node = node
+        self.oracle.records_by_id[record.request_id] = record
         fields = ("shop", "service", pool, 0, answer_s, repeatable)
         policy = Policy(*fields, 1.0, 1.0, 0, 0.0, 0.5, 100, adapter)
         caller = CallerInput("", "POST", "/", "", b"")
         admission = Admission(policy, caller, stream, tokens, "")
-        sink = Sink(self.oracle, seen)
-        self._put(node, lambda: self._serve(node, seen.request_id, admission, sink))
-        return seen
+        sink = RecordingSink(self.oracle, record)
+        self._put(node, lambda: self._serve(node, record.request_id, admission, sink))
+        return record
 
     def _serve(self, node, request_id, admission, sink):
         serving = node.gateway.serve(request_id, admission, sink)
         task = node.loop.create_task(serving)
-        task.add_done_callback(self._note_served)
+        task.add_done_callback(self._check_result)
 
-    def _note_served(self, task):
+    def _check_result(self, task):
         error = None if task.cancelled() else task.exception()
         self.oracle.check(error is None, "a request's task failed", error)
 
-    def leave(self, seen):
-        """Let a caller go away."""
-        seen.gone = True
-        if not seen.node.dead:
-            self._put(seen.node, lambda: seen.node.gateway.lose_caller(seen.request_id))
+    def disconnect_caller(self, record):
+        """Disconnect a caller."""
+        record.caller_left = True
+        if not record.node.dead:
+            self._put(
+                record.node, lambda: record.node.gateway.lose_caller(record.request_id)
+            )
 
     def close(self):
         for node in self.live_nodes:
