--- a/bench/soak/accounts.py
+++ b/bench/soak/accounts.py
@@ -97,7 +97,7 @@
     if owner is None:
         yield Violation("unknown key", f"{record} ran with {key}")
     elif record.account != owner:
-        yield Violation("account", f"{record} belongs to {owner}")
+        yield Violation("account", f"{record} ran with a key of {owner}")
     revoked_at = accounts.revoked_at_by_key.get(key)
     if (
         revoked_at is not None
