--- a/bench/policy/report.py
+++ b/bench/policy/report.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 from bench.policy.outcome import Result
+from bench.policy.policies import Clairvoyant, FirstCome, Policy, ProjectPolicy
 from bench.policy.previous import find_previous, load_revision
-from bench.policy.rivals import Clairvoyant, FirstCome, Policy, ProjectPolicy
 from bench.policy.simulation import simulate
 from bench.policy.summary import Stalls, Summary, summarize
 from bench.policy.sweep import print_sweep
--- a/bench/policy/simulation.py
+++ b/bench/policy/simulation.py
@@ -6,7 +6,7 @@
 
 from bench.policy.fakes import FakeClock, FakeStore
 from bench.policy.outcome import Outcome, Result
-from bench.policy.rivals import Policy, ProjectPolicy, Router
+from bench.policy.policies import Policy, ProjectPolicy, Router
 from bench.policy.traces import (
     CHANGE_ENDS_S,
     CHANGE_STARTS_S,
--- a/bench/policy/sweep.py
+++ b/bench/policy/sweep.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from bench.policy.outcome import Result
-from bench.policy.rivals import ProjectPolicy
+from bench.policy.policies import ProjectPolicy
 from bench.policy.simulation import simulate
 from bench.policy.summary import summarize
 from bench.policy.traces import DEPLOYMENTS, make_trace
--- a/bench/policy/world.py
+++ b/bench/policy/world.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from bench.policy.fakes import FakeClock, FakeEngine
-from bench.policy.rivals import Policy, Scheduler
+from bench.policy.policies import Policy, Scheduler
 from bench.policy.traces import DATA_CENTRES, SLOTS, Deployment, Request
 from fescuekeel.components.owner.scheduling import model
 from fescuekeel.messages import AdapterRef, LiveEntry, LiveRole, Member, TurnAsk
--- a/tests/bench/test_policy.py
+++ b/tests/bench/test_policy.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bench.policy.fakes import FakeClock, FakeEngine, FakeStore
-from bench.policy.rivals import Clairvoyant, FirstCome, ProjectPolicy
+from bench.policy.policies import Clairvoyant, FirstCome, ProjectPolicy
 from bench.policy.simulation import simulate
 from bench.policy.traces import DEPLOYMENTS, WARM_UP_S, Trace, make_trace
 from fescuekeel.components.owner.scheduling.decision import EndpointScheduler
