--- a/bench/policy/simulation.py
+++ b/bench/policy/simulation.py
@@ -150,7 +150,7 @@
             self._end(request, None, ErrorKind.NO_ENDPOINT, 0.0)
             return
         attempt.endpoint = endpoint
-        router.hints.note_sent(endpoint)
+        router.hints.record_sent(endpoint)
         if endpoint == self._ownerless_endpoint:
             self._pending_attempts.append(attempt)
             return
@@ -233,9 +233,9 @@
         """Redirect a request to the alternate endpoint."""
         request, now = attempt.request, self._clock.now
         hints = self._hints_by_dc[request.data_centre]
-        hints.note_moved(attempt.endpoint, endpoint, request.adapter, now)
-        hints.note_done(attempt.endpoint)
-        hints.note_sent(endpoint)
+        hints.record_moved(attempt.endpoint, endpoint, request.adapter, now)
+        hints.record_done(attempt.endpoint)
+        hints.record_sent(endpoint)
         attempt.endpoint, attempt.moved = endpoint, True
         self._clock.call_later(LINK_DELAY_S, partial(self._submit, attempt))
 
@@ -244,7 +244,7 @@
     ) -> None:
         attempt = self._attempts_by_id.pop(request.id)
         if attempt.endpoint:
-            self._hints_by_dc[request.data_centre].note_done(attempt.endpoint)
+            self._hints_by_dc[request.data_centre].record_done(attempt.endpoint)
         if request.at >= WARM_UP_S:
             outcome = Outcome(request, answered_at, str(kind), stall_s, self._clock.now)
             self._result.outcomes.append(outcome)
@@ -287,7 +287,7 @@
         stall_s = self._get_stall_s(host, request)
         hints = self._hints_by_dc[request.data_centre]
         wait_s = max(0.0, effect.queue_s - effect.stall_s)
-        hints.note_answer(host.entry.id, request.adapter, wait_s, now)
+        hints.record_answer(host.entry.id, request.adapter, wait_s, now)
         end = host.engine.start(request.id, request.adapter, request.tokens)
         finish = partial(self._finish, host, request, host.engine.boot, stall_s)
         self._clock.call_at(end, finish)
@@ -312,8 +312,8 @@
         now = self._clock.now
         if effect.kind is ErrorKind.QUEUE_FULL and not attempt.tried:
             hints = self._hints_by_dc[request.data_centre]
-            hints.note_full(host.entry.id, effect.retry_after_s, now)
-            hints.note_done(host.entry.id)
+            hints.record_full(host.entry.id, effect.retry_after_s, now)
+            hints.record_done(host.entry.id)
             attempt.tried.add(host.entry.id)
             self._clock.call_later(LINK_DELAY_S, partial(self._route, attempt))
             return
--- a/fescuekeel/components/catalog/component.py
+++ b/fescuekeel/components/catalog/component.py
@@ -130,7 +130,7 @@
             self._publish(changed, self._follower.recovery_revision)
             if confirmed is not None:
                 # Only after the changes of this answer are in force.
-                self._freshness.note_confirmed(confirmed, 0.0)
+                self._freshness.record_confirmed(confirmed, 0.0)
             if changed:
                 self._send_news(self._sample_contacts())
 
@@ -266,9 +266,9 @@
         assert isinstance(message.body, CatalogNews)
         news = message.body
         now = self._instance.now()
-        self._peer_ages.note_news(message.sender, news.age_ms / 1000, now)
+        self._peer_ages.record_news(message.sender, news.age_ms / 1000, now)
         if news.watching and self._is_neighbour(message.sender):
-            self._watchers.note_watcher(message.sender, now)
+            self._watchers.record_watcher(message.sender, now)
         if news.revision <= self._items.revision:
             self._behind_since = None
             return
@@ -316,7 +316,7 @@
                 whole=answer.whole,
             )
         self._publish(changed, answer.lapsed_until)
-        self._freshness.note_confirmed(asked_at, answer.age_ms / 1000)
+        self._freshness.record_confirmed(asked_at, answer.age_ms / 1000)
 
     def _handle_ask(self, message: PeerMessage) -> None:
         assert isinstance(message.body, CatalogAsk)
--- a/fescuekeel/components/catalog/confirmation.py
+++ b/fescuekeel/components/catalog/confirmation.py
@@ -90,7 +90,7 @@
     """Track how old the catalogs of peers are, to find a fresher one.
 
     >>> peer_ages = PeerAges()
-    >>> peer_ages.note_news("i2", age_s=0.3, now=10.0)
+    >>> peer_ages.record_news("i2", age_s=0.3, now=10.0)
     >>> peer_ages.choose(own_age_s=2.0, now=10.1)
     'i2'
     >>> peer_ages.choose(own_age_s=0.2, now=10.1)
@@ -98,7 +98,7 @@
 
     _hints_by_peer: dict[str, AgeHint] = field(default_factory=dict)
 
-    def note_news(self, peer: str, age_s: float, now: float) -> None:
+    def record_news(self, peer: str, age_s: float, now: float) -> None:
         """Record the age that a peer's news reports."""
         self._hints_by_peer[peer] = AgeHint(age_s, now)
 
--- a/fescuekeel/components/catalog/watcher_selection.py
+++ b/fescuekeel/components/catalog/watcher_selection.py
@@ -28,7 +28,7 @@
     >>> own = WatcherSelection("i1", "dc1")
     >>> own.must_watch(members, now=0.0)
     True
-    >>> own.note_watcher("i2", now=0.0)
+    >>> own.record_watcher("i2", now=0.0)
     >>> own.must_watch(members, now=0.5), own.must_watch(members, now=5.0)
     (False, True)
     """
@@ -39,7 +39,7 @@
     _ranked_neighbours: list[str] | None = None
     _is_watcher: bool = True
 
-    def note_watcher(self, peer: str, now: float) -> None:
+    def record_watcher(self, peer: str, now: float) -> None:
         """Record that a peer watches the store and gets answers."""
         self._seen_at_by_watcher[peer] = now
 
--- a/fescuekeel/components/forward/attempts.py
+++ b/fescuekeel/components/forward/attempts.py
@@ -81,7 +81,7 @@
         """Return whether the request may be sent to one more endpoint."""
         return len(self.endpoints) < self.max_attempts and self.sends < MAX_SENDS
 
-    def note_sent(self, endpoint: str) -> None:
+    def record_sent(self, endpoint: str) -> None:
         """Record that the request is sent to an endpoint."""
         self.endpoints.add(endpoint)
         self.sends += 1
--- a/fescuekeel/components/forward/budget.py
+++ b/fescuekeel/components/forward/budget.py
@@ -39,7 +39,7 @@
         default_factory=lambda: defaultdict(RetryWindow)
     )
 
-    def note_request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a request to a service."""
         window = self._windows_by_service[service]
         window.requests.append(now)
--- a/fescuekeel/components/forward/component.py
+++ b/fescuekeel/components/forward/component.py
@@ -243,7 +243,7 @@
             else metadata.time_left_s
         )
         service = choose_service(route, metadata.request_id)
-        self.budget.note_request(service, arrived)
+        self.budget.record_request(service, arrived)
         return ForwardedRequest(
             forwarder=self,
             caller=caller,
@@ -323,8 +323,8 @@
             connection = await pool.open(CONNECT_TIMEOUT_S)
         except NotConnectedError as error:
             now = self.instance.now()
-            health.note_unreachable(now)
-            self._reachability.note_connect_failed(endpoint)
+            health.record_unreachable(now)
+            self._reachability.record_connect_failed(endpoint)
             log_event(
                 "endpoint_unreachable",
                 endpoint=endpoint,
@@ -332,8 +332,8 @@
                 avoided_ms=round((health.unreachable_until - now) * 1000),
             )
             raise
-        health.note_connected()
-        self._reachability.note_reached(endpoint)
+        health.record_connected()
+        self._reachability.record_reached(endpoint)
         return connection
 
     def get_priority(self, request: ForwardedRequest) -> int | None:
@@ -346,9 +346,9 @@
         """Select an endpoint; wait for its weights and for admission."""
         return await self._selector.select_endpoint(request)
 
-    def note_use_ended(self) -> None:
+    def record_use_ended(self) -> None:
         """Report the end of a use of weights to the holders soon."""
-        self._use.note_ended()
+        self._use.record_ended()
 
     def spend_retry(self, request: ForwardedRequest, end: AttemptEnd) -> bool:
         """Use the retry budget; return whether a retry is allowed."""
@@ -360,7 +360,7 @@
 
     # Reports of requests.
 
-    def note_attempt(
+    def record_attempt(
         self,
         request: ForwardedRequest,
         choice: Choice,
@@ -372,14 +372,14 @@
             view = self.instance.bus.latest(PlacementView)
             if view is not None:
                 now = self.instance.now()
-                view.note_missing(choice.endpoint, request.weights, now)
+                view.record_missing(choice.endpoint, request.weights, now)
         self.records.attempt(request, choice, attempt, end)
 
-    def note_refused(self, request: ForwardedRequest, failure: Failure) -> None:
+    def record_refused(self, request: ForwardedRequest, failure: Failure) -> None:
         """Record a refusal."""
         self.records.refused(request, failure)
 
-    def note_end(self, request: ForwardedRequest) -> None:
+    def record_end(self, request: ForwardedRequest) -> None:
         """Record the end of a request."""
         self.records.end(request)
 
--- a/fescuekeel/components/forward/endpoints.py
+++ b/fescuekeel/components/forward/endpoints.py
@@ -43,33 +43,33 @@
         """Return the failure rate, decayed with time."""
         return self.failure_rate * 0.5 ** ((now - self.updated_at) / HEALTH_HALF_LIFE_S)
 
-    def note_result(self, failed: bool, now: float) -> None:
+    def record_result(self, failed: bool, now: float) -> None:
         """Record the result of a request."""
         before = self.read_failure_rate(now)
         self.failure_rate = before + RESULT_WEIGHT * (float(failed) - before)
         self.updated_at = now
 
-    def note_connected(self) -> None:
+    def record_connected(self) -> None:
         """Record a successful connect."""
         self._backoff_s = MIN_UNREACHABLE_S
         self.unreachable_until = 0.0
 
-    def note_unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Avoid the endpoint, with exponential backoff."""
         self.unreachable_until = now + self._backoff_s
         self._backoff_s = min(MAX_UNREACHABLE_S, 2 * self._backoff_s)
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Record that a request was sent."""
         self._outstanding += 1
         if self._waiting_since is None:
             self._waiting_since = now
 
-    def note_received(self, now: float) -> None:
+    def record_received(self, now: float) -> None:
         """Record that bytes of an answer were received."""
         self._waiting_since = now if self._outstanding else None
 
-    def note_ended(self, now: float) -> None:
+    def record_ended(self, now: float) -> None:
         """Record that a request has ended."""
         self._outstanding = max(0, self._outstanding - 1)
         if not self._outstanding:
@@ -121,7 +121,7 @@
             started = self.started_by_weights
             started[weights] = started.get(weights, 0) + 1
 
-    def note_first_chunk(
+    def record_first_chunk(
         self,
         tokens: int,
         tokens_ahead: int,
@@ -146,11 +146,11 @@
         self.prefill_token_s += SPEED_WEIGHT * (sample - self.prefill_token_s)
         self._speed_updated_at = now
 
-    def note_pause(self, pause: float) -> None:
+    def record_pause(self, pause: float) -> None:
         """Record a pause in a stream, as a share of its route's target."""
         self.longest_pause = max(self.longest_pause, pause)
 
-    def note_service(self, took_s: float) -> None:
+    def record_service(self, took_s: float) -> None:
         """Update the service time of plain requests."""
         self.service_s += SPEED_WEIGHT * (took_s - self.service_s)
 
--- a/fescuekeel/components/forward/holders.py
+++ b/fescuekeel/components/forward/holders.py
@@ -64,14 +64,14 @@
         # Loads and admissions may take the whole timeout, so only an earlier
         # failure shows that the holder does not respond.
         if self._instance.now() < until:
-            self._note_silent(holder, ask.endpoint, now)
+            self._record_silent(holder, ask.endpoint, now)
         return None
 
-    def _note_silent(self, holder: str, endpoint: str, asked: float) -> None:
+    def _record_silent(self, holder: str, endpoint: str, asked: float) -> None:
         now = self._instance.now()
         view = self._instance.bus.latest(PlacementView)
         if view is not None:
-            view.note_unresponsive(holder, now)
+            view.record_unresponsive(holder, now)
         log_event(
             "holder_silent",
             holder=holder,
@@ -88,4 +88,4 @@
         view = self._instance.bus.latest(PlacementView)
         if reason != NOT_HOLDER or view is None:
             return False
-        return view.note_redirect(endpoint, asked, answer.holder)
+        return view.record_redirect(endpoint, asked, answer.holder)
--- a/fescuekeel/components/forward/host.py
+++ b/fescuekeel/components/forward/host.py
@@ -62,16 +62,16 @@
 
     # Reports of requests.
 
-    def note_use_ended(self) -> None:
+    def record_use_ended(self) -> None:
         """Report the end of a use of weights to the holders soon."""
 
-    def note_attempt(
+    def record_attempt(
         self, request: R, choice: Choice, attempt: A, end: AttemptEnd | None
     ) -> None:
         """Record one attempt."""
 
-    def note_refused(self, request: R, failure: Failure) -> None:
+    def record_refused(self, request: R, failure: Failure) -> None:
         """Record a refusal."""
 
-    def note_end(self, request: R) -> None:
+    def record_end(self, request: R) -> None:
         """Record the end of a request."""
--- a/fescuekeel/components/forward/isolation.py
+++ b/fescuekeel/components/forward/isolation.py
@@ -23,10 +23,10 @@
 
     >>> isolation = Isolation("dc1")
     >>> for centre in ("dc2", "dc3"):
-    ...     isolation.note_connect_failed(centre, now=10.0)
+    ...     isolation.record_connect_failed(centre, now=10.0)
     >>> isolation.is_cut_off(now=10.5)
     True
-    >>> isolation.note_reached("dc3", now=10.6)
+    >>> isolation.record_reached("dc3", now=10.6)
     >>> isolation.is_cut_off(now=10.7)
     False
     """
@@ -35,13 +35,13 @@
     _last_contact_by_centre: dict[str, float] = field(default_factory=dict)
     _last_failure_by_centre: dict[str, float] = field(default_factory=dict)
 
-    def note_reached(self, data_centre: str, now: float) -> None:
+    def record_reached(self, data_centre: str, now: float) -> None:
         """Record contact with a data centre."""
         self._last_contact_by_centre[data_centre] = max(
             now, self._last_contact_by_centre.get(data_centre, now)
         )
 
-    def note_connect_failed(self, data_centre: str, now: float) -> None:
+    def record_connect_failed(self, data_centre: str, now: float) -> None:
         """Record a failed connect to an endpoint of a data centre."""
         self._last_failure_by_centre[data_centre] = now
 
--- a/fescuekeel/components/forward/loading.py
+++ b/fescuekeel/components/forward/loading.py
@@ -73,7 +73,7 @@
         if answer is not None:
             detail = "" if answer.loaded else answer.detail or "refused"
             if answer.loaded:
-                self._note_held(ask.endpoint, weights, answer.version)
+                self._record_held(ask.endpoint, weights, answer.version)
         self._instance.metrics.observe("load_wait", self._instance.now() - asked)
         log_event(
             "load_asked",
@@ -87,7 +87,7 @@
         )
         return detail
 
-    def _note_held(self, endpoint: str, weights: Weights, version: int) -> None:
+    def _record_held(self, endpoint: str, weights: Weights, version: int) -> None:
         view = self._instance.bus.latest(PlacementView)
         if view is not None:
-            view.note_held(endpoint, weights, version, self._instance.now())
+            view.record_held(endpoint, weights, version, self._instance.now())
--- a/fescuekeel/components/forward/reachability.py
+++ b/fescuekeel/components/forward/reachability.py
@@ -33,19 +33,19 @@
         self._find_record = find_record
         self._isolation = Isolation(instance.settings.instance.data_centre)
 
-    def note_connect_failed(self, endpoint: str) -> None:
+    def record_connect_failed(self, endpoint: str) -> None:
         """Record a failed connect to an endpoint."""
         record = self._find_record(endpoint)
         if record is not None:
-            self._isolation.note_connect_failed(
+            self._isolation.record_connect_failed(
                 record.data_centre, self._instance.now()
             )
 
-    def note_reached(self, endpoint: str) -> None:
+    def record_reached(self, endpoint: str) -> None:
         """Record a successful connect to an endpoint."""
         record = self._find_record(endpoint)
         if record is not None:
-            self._isolation.note_reached(record.data_centre, self._instance.now())
+            self._isolation.record_reached(record.data_centre, self._instance.now())
 
     def update(self) -> None:
         """Update ``cut_off``, and log a change."""
@@ -68,7 +68,7 @@
         for id, received_at in last_received_by_id.items():
             member = view.members_by_id.get(id)
             if member is not None:
-                self._isolation.note_reached(member.data_centre, received_at)
+                self._isolation.record_reached(member.data_centre, received_at)
 
     def fail_over_unresponsive(self, requests: Collection[ForwardedRequest]) -> None:
         """Fail over repeatable requests from unresponsive endpoints."""
@@ -81,5 +81,5 @@
         for request in list(requests) if unresponsive else ():
             endpoint = request.current_endpoint
             if endpoint in unresponsive and request.abort_for_failover():
-                self._loads_by_id[endpoint].health.note_unreachable(now)
+                self._loads_by_id[endpoint].health.record_unreachable(now)
                 self._instance.metrics.count("left_silent_endpoint")
--- a/fescuekeel/components/forward/request.py
+++ b/fescuekeel/components/forward/request.py
@@ -116,7 +116,7 @@
             if not self._caller_closed:
                 await self._end_stopped()
         finally:
-            self.forwarder.note_end(self)
+            self.forwarder.record_end(self)
 
     def handle_caller_closed(self, task: asyncio.Task[None]) -> None:
         """Cancel the request after its caller has disconnected."""
@@ -202,7 +202,7 @@
             self.metadata.request_id, failure.kind
         )
         await self.caller.refuse(failure, headers)
-        self.forwarder.note_refused(self, failure)
+        self.forwarder.record_refused(self, failure)
 
     async def _end_expired(self) -> None:
         """Answer that the deadline has passed; "not run" only if unsent."""
@@ -233,7 +233,7 @@
             choice.endpoint, now, tokens, tokens_ahead
         )
         load.begin(self.weights, tokens)
-        load.health.note_sent(now)
+        load.health.record_sent(now)
         end: AttemptEnd | None = AttemptEnd.BROKEN
         try:
             end = await self._exchange(attempt, choice)
@@ -242,13 +242,13 @@
             done = self.forwarder.instance.now()
             left = 0 if attempt.first_chunk_received else tokens
             load.end(self.weights, left)
-            self.forwarder.note_use_ended()
-            load.health.note_ended(done)
+            self.forwarder.record_use_ended()
+            load.health.record_ended(done)
             if attempt.connection is not None:
                 attempt.connection.close()
         failed = end in (AttemptEnd.FAILED, AttemptEnd.BROKEN)
-        load.health.note_result(failed, done)
-        self.forwarder.note_attempt(self, choice, attempt, end)
+        load.health.record_result(failed, done)
+        self.forwarder.record_attempt(self, choice, attempt, end)
         return end
 
     async def _exchange(self, attempt: Attempt, choice: Choice) -> AttemptEnd | None:
@@ -303,13 +303,13 @@
         if self.body or self.method not in ("GET", "HEAD", "DELETE"):
             framing = (("Content-Length", str(len(self.body))),)
         connection.send(self.method, self.target, (*headers, *framing), self.body)
-        self.state.note_sent(choice.endpoint)
+        self.state.record_sent(choice.endpoint)
 
     async def _read_answer(
         self, attempt: Attempt, connection: Connection
     ) -> AttemptEnd | None:
         head = await connection.read_head()
-        self._note_received(attempt)
+        self._record_received(attempt)
         attempt.head = head
         response = self.forwarder.dialect.read_response(head.status, dict(head.headers))
         if response.request_id and response.request_id != self.metadata.request_id:
@@ -336,16 +336,16 @@
             return False
         return len(self.state.endpoints) < self.state.max_attempts
 
-    def _note_received(self, attempt: Attempt) -> None:
+    def _record_received(self, attempt: Attempt) -> None:
         now = self.forwarder.instance.now()
-        self.forwarder.get_load(attempt.endpoint).health.note_received(now)
+        self.forwarder.get_load(attempt.endpoint).health.record_received(now)
 
     async def _drain(
         self, connection: Connection, attempt: Attempt, response: ResponseMetadata
     ) -> None:
         """Read the rest of an answer that is not forwarded."""
         while await connection.read_chunk() is not None:
-            self._note_received(attempt)
+            self._record_received(attempt)
         self._release(attempt, connection, response)
 
     def _release(
@@ -374,8 +374,8 @@
         elif head.status != HTTPStatus.OK:
             raise IncompleteResponseError(f"status {head.status} for a resumed stream")
         while (chunk := await connection.read_chunk()) is not None:
-            self._note_received(attempt)
-            self._note_chunk(attempt)
+            self._record_received(attempt)
+            self._record_chunk(attempt)
             data = chunk.data
             if self._splitter is not None:
                 data = self._splitter.feed(data)
@@ -397,22 +397,22 @@
             phrase = "Answer"
         await self.caller.begin(head.status, phrase, head.headers)
 
-    def _note_chunk(self, attempt: Attempt) -> None:
+    def _record_chunk(self, attempt: Attempt) -> None:
         now = self.forwarder.instance.now()
         load = self.forwarder.get_load(attempt.endpoint)
         gap_s = self.times.note(now, attempt.first_chunk_received)
         if gap_s and self.route.gap_target_s:
-            load.note_pause(gap_s / self.route.gap_target_s)
+            load.record_pause(gap_s / self.route.gap_target_s)
         if attempt.first_chunk_received:
             return
         attempt.first_chunk_received = True
         wait_s = now - attempt.started_at
         attempt.first_s = wait_s
         estimator = self.forwarder.get_overhead_estimator(self.service)
-        load.note_first_chunk(
+        load.record_first_chunk(
             attempt.tokens, attempt.tokens_ahead, wait_s, estimator.overhead_s, now
         )
         if attempt.tokens and wait_s < MAX_SAMPLE_WAIT_S:
             estimator.note(attempt.tokens, wait_s)
         if self.route.kind is not RouteKind.STREAM:
-            load.note_service(wait_s)
+            load.record_service(wait_s)
--- a/fescuekeel/components/forward/search.py
+++ b/fescuekeel/components/forward/search.py
@@ -39,7 +39,7 @@
     the search ends now.
 
     >>> search = Search(until=10.0)
-    >>> search.note_congested("e1")
+    >>> search.record_congested("e1")
     >>> search.avoided, search.patient
     ({'e1'}, False)
     """
@@ -72,24 +72,24 @@
         """Return whether the request may queue at an endpoint."""
         return self.patient or endpoint in self.avoided
 
-    def note_congested(self, endpoint: str) -> None:
+    def record_congested(self, endpoint: str) -> None:
         """Record that the request would have to queue at an endpoint."""
         self.congested.add(endpoint)
 
-    def note_not_admitted(
+    def record_not_admitted(
         self, endpoint: str, answer: AdmitAnswer, patient: bool
     ) -> None:
         """Record that a holder did not admit the prompt."""
         if answer.reason == NOT_HELD:
             self.failure = make_overload_failure(ErrorKind.LOAD_FAILED, answer.reason)
         elif not patient:
-            self.note_congested(endpoint)
+            self.record_congested(endpoint)
         else:
-            self.note_full(endpoint)
+            self.record_full(endpoint)
             detail = f"{answer.wait_ms / 1000:.1f} s wait"
             self.failure = make_overload_failure(ErrorKind.QUEUE_FULL, detail)
 
-    def note_full(self, endpoint: str) -> None:
+    def record_full(self, endpoint: str) -> None:
         """Record that an endpoint's queue has no room for the request."""
         self.full.add(endpoint)
         self.refusals += 1
--- a/fescuekeel/components/forward/selection.py
+++ b/fescuekeel/components/forward/selection.py
@@ -144,10 +144,10 @@
             outcome=detail or "loaded",
         )
         if detail == NO_FREE_PLACE:
-            search.note_congested(choice.endpoint)
+            search.record_congested(choice.endpoint)
             return None
         if detail == TOO_MANY_LOADS:
-            search.note_full(choice.endpoint)
+            search.record_full(choice.endpoint)
         if search.is_exhausted(self._instance.now()):
             return make_overload_failure(ErrorKind.LOAD_FAILED, detail or "late")
         if detail:
@@ -168,15 +168,15 @@
             choice = _expect_version(choice, answer)
             return choice if self._still_serves(request, choice) else None
         if answer.reason == NOT_HELD:
-            self._note_missing(request, choice)
-        search.note_not_admitted(choice.endpoint, answer, patient)
+            self._record_missing(request, choice)
+        search.record_not_admitted(choice.endpoint, answer, patient)
         return search.failure if search.is_exhausted(self._instance.now()) else None
 
-    def _note_missing(self, request: ForwardedRequest, choice: Choice) -> None:
+    def _record_missing(self, request: ForwardedRequest, choice: Choice) -> None:
         view = self._instance.bus.latest(PlacementView)
         if view is not None and request.weights is not None:
             now = self._instance.now()
-            view.note_missing(choice.endpoint, request.weights, now)
+            view.record_missing(choice.endpoint, request.weights, now)
 
     def _still_serves(self, request: ForwardedRequest, choice: Choice) -> bool:
         """Return whether the endpoint can serve the prompt after its wait.
@@ -232,9 +232,11 @@
             return None
         view = self._instance.bus.latest(PlacementView)
         if view is not None and answer.reason != NOT_HELD:
-            view.note_load(choice.endpoint, answer.running, answer.pending_tokens, now)
+            view.record_load(
+                choice.endpoint, answer.running, answer.pending_tokens, now
+            )
             if answer.granted:
-                view.note_held(choice.endpoint, request.weights, answer.version, now)
+                view.record_held(choice.endpoint, request.weights, answer.version, now)
         return answer
 
     async def _request_load(
--- a/fescuekeel/components/forward/use.py
+++ b/fescuekeel/components/forward/use.py
@@ -47,7 +47,7 @@
                         await self._due_changed.wait()
             self._report()
 
-    def note_ended(self) -> None:
+    def record_ended(self) -> None:
         """Bring the next report forward: a request has ended."""
         due = self._instance.now() + ENDED_REPORT_DELAY_S
         if due < self._due:
--- a/fescuekeel/components/gateway/request.py
+++ b/fescuekeel/components/gateway/request.py
@@ -73,7 +73,7 @@
     ) -> Placement | None:
         """Choose an endpoint that has not rejected this request yet."""
 
-    def note_moved(
+    def record_moved(
         self, placement: Placement, admission: Admission, endpoint: str
     ) -> None:
         """Record that adapter requests are redirected to ``endpoint``."""
@@ -81,18 +81,18 @@
     def find_owner(self, endpoint: str) -> str | None:
         """Return the id of the instance that owns an endpoint now."""
 
-    def note_sent(self, placement: Placement) -> None:
+    def record_sent(self, placement: Placement) -> None:
         """Count a request as in flight at an endpoint."""
 
-    def note_done(self, placement: Placement) -> None:
+    def record_done(self, placement: Placement) -> None:
         """Count a request at an endpoint as ended."""
 
-    def note_answer(
+    def record_answer(
         self, placement: Placement, admission: Admission, wait_s: float
     ) -> None:
         """Record that the adapter is loaded, and the wait without the load."""
 
-    def note_refusal(self, placement: Placement, failure: Failure) -> None:
+    def record_refusal(self, placement: Placement, failure: Failure) -> None:
         """Record what a rejection says about the endpoint."""
 
     def may_retry(self, admission: Admission, reason: RetryReason) -> bool:
@@ -131,17 +131,17 @@
         match message.body:
             case StartAsk(_, attempt, stall_ms, queue_ms):
                 self._start_requests_by_attempt[attempt] = message
-                self._note_waits(stall_ms, queue_ms)
+                self._record_waits(stall_ms, queue_ms)
                 self.post(StartRequested(attempt))
             case WorkStarted(_, attempt, stall_ms, queue_ms):
-                self._note_waits(stall_ms, queue_ms)
+                self._record_waits(stall_ms, queue_ms)
                 self.post(Started(attempt))
             case WorkChunk(_, attempt, position, data, tokens):
                 self.post(ChunkReceived(attempt, position, data, tokens))
             case WorkEnd() as end:
                 self._post_end(end)
 
-    def _note_waits(self, stall_ms: int, queue_ms: int) -> None:
+    def _record_waits(self, stall_ms: int, queue_ms: int) -> None:
         self.head.stall_ms = stall_ms
         self.head.queue_ms = queue_ms
 
@@ -181,7 +181,7 @@
             for task in self._submit_tasks:
                 task.cancel()
             if self.placement is not None:
-                self.router.note_done(self.placement)
+                self.router.record_done(self.placement)
         return self.failure
 
     async def _handle(self, event: RequestEvent) -> None:
@@ -215,16 +215,16 @@
                 if not await self.sink.deliver(data, self.head):
                     self.post(CallerDisconnected())
             case Finish():
-                self._note_answer()
+                self._record_answer()
                 await self.sink.finish(self.head)
             case Fail(failure):
                 self.failure = failure
                 await self.sink.fail(failure)
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         if self.placement is not None:
             wait_s = max(0, self.head.queue_ms - self.head.stall_ms) / 1000
-            self.router.note_answer(self.placement, self.admission, wait_s)
+            self.router.record_answer(self.placement, self.admission, wait_s)
 
     def _answer_start(self, attempt: int, granted: bool) -> None:
         question = self._start_requests_by_attempt.pop(attempt, None)
@@ -255,10 +255,10 @@
 
     def _set_placement(self, placement: Placement, attempt: int) -> None:
         if self.placement is not None:
-            self.router.note_done(self.placement)
+            self.router.record_done(self.placement)
         self.placement = placement
         self._placed_attempt = attempt
-        self.router.note_sent(placement)
+        self.router.record_sent(placement)
 
     def _place(self, effect: SendAttempt) -> Placement | None:
         endpoint, self._moved_to = self._moved_to, ""
@@ -312,18 +312,18 @@
             self.post(Accepted(attempt))
             return
         failure = _make_refusal(answer)
-        self.router.note_refusal(placement, failure)
+        self.router.record_refusal(placement, failure)
         if failure.kind is ErrorKind.QUEUE_FULL:
             self.tried |= {placement.endpoint}
         if failure.kind is ErrorKind.MOVED:
-            self._note_move(placement, answer.endpoint)
+            self._record_move(placement, answer.endpoint)
         self.post(Refused(attempt, failure))
 
-    def _note_move(self, placement: Placement, endpoint: str) -> None:
+    def _record_move(self, placement: Placement, endpoint: str) -> None:
         # Prevents two owners from redirecting the request to each other.
         self.moved = True
         self._moved_to = endpoint
-        self.router.note_moved(placement, self.admission, endpoint)
+        self.router.record_moved(placement, self.admission, endpoint)
 
 
 def _make_refusal(answer: SubmitAnswer) -> Failure:
--- a/fescuekeel/components/gateway/router.py
+++ b/fescuekeel/components/gateway/router.py
@@ -59,30 +59,30 @@
             return None
         return choose_owner(entry, view.members_by_id.values())
 
-    def note_moved(
+    def record_moved(
         self, placement: Placement, admission: Admission, endpoint: str
     ) -> None:
         """Record that adapter requests are redirected to ``endpoint``."""
         adapter, now = admission.policy.adapter, self._instance.now()
-        self.hints.note_moved(placement.endpoint, endpoint, adapter, now)
+        self.hints.record_moved(placement.endpoint, endpoint, adapter, now)
 
-    def note_sent(self, placement: Placement) -> None:
+    def record_sent(self, placement: Placement) -> None:
         """Count a request as in flight at an endpoint."""
-        self.hints.note_sent(placement.endpoint)
+        self.hints.record_sent(placement.endpoint)
 
-    def note_done(self, placement: Placement) -> None:
+    def record_done(self, placement: Placement) -> None:
         """Count a request at an endpoint as ended."""
-        self.hints.note_done(placement.endpoint)
+        self.hints.record_done(placement.endpoint)
 
-    def note_answer(
+    def record_answer(
         self, placement: Placement, admission: Admission, wait_s: float
     ) -> None:
         """Record that the adapter is loaded, and the wait without the load."""
         adapter = admission.policy.adapter
         now = self._instance.now()
-        self.hints.note_answer(placement.endpoint, adapter, wait_s, now)
+        self.hints.record_answer(placement.endpoint, adapter, wait_s, now)
 
-    def note_refusal(self, placement: Placement, failure: Failure) -> None:
+    def record_refusal(self, placement: Placement, failure: Failure) -> None:
         """Record that an endpoint rejected a request for a full queue."""
         # "Too late" reports the wait for an adapter load, not a full queue;
         # treating it as one would cause needless loads on other endpoints.
@@ -90,7 +90,7 @@
             return
         retry_after_s = max(failure.retry_after_s, MIN_FULL_HINT_S)
         now = self._instance.now()
-        self.hints.note_full(placement.endpoint, retry_after_s, now)
+        self.hints.record_full(placement.endpoint, retry_after_s, now)
 
     def may_retry(self, admission: Admission, reason: RetryReason) -> bool:
         """Take one retry from the service's retry budget, if any is left."""
--- a/fescuekeel/components/gateway/routing.py
+++ b/fescuekeel/components/gateway/routing.py
@@ -80,7 +80,7 @@
     """Short-lived observations of an entry instance about endpoints.
 
     >>> hints, ref = Hints(), AdapterRef("cups", "1")
-    >>> hints.note_answer("e1", ref, wait_s=0.2, now=10.0)
+    >>> hints.record_answer("e1", ref, wait_s=0.2, now=10.0)
     >>> hints.has_copy("e1", ref, 12.0), hints.has_copy("e1", ref, 16.0)
     (True, False)
     """
@@ -90,12 +90,12 @@
     _copies_by_adapter: dict[AdapterRef, dict[str, float]] = field(default_factory=dict)
     _moves_by_adapter: dict[AdapterRef, Move] = field(default_factory=dict)
 
-    def note_sent(self, endpoint: str) -> None:
+    def record_sent(self, endpoint: str) -> None:
         """Count a request as in flight at an endpoint."""
         count = self.in_flight_by_endpoint.get(endpoint, 0)
         self.in_flight_by_endpoint[endpoint] = count + 1
 
-    def note_done(self, endpoint: str) -> None:
+    def record_done(self, endpoint: str) -> None:
         """Count a request as ended, whatever the outcome."""
         count = self.in_flight_by_endpoint.get(endpoint, 0)
         if count > 1:
@@ -103,7 +103,7 @@
             return
         self.in_flight_by_endpoint.pop(endpoint, None)
 
-    def note_answer(
+    def record_answer(
         self, endpoint: str, adapter: AdapterRef, wait_s: float, now: float
     ) -> None:
         """Record that the adapter is loaded there, and the queue wait.
@@ -117,7 +117,7 @@
             self._prune_copies(now)
         self._copies_by_adapter.setdefault(adapter, {})[endpoint] = now
 
-    def note_full(self, endpoint: str, retry_after_s: float, now: float) -> None:
+    def record_full(self, endpoint: str, retry_after_s: float, now: float) -> None:
         """Record that the endpoint rejected a request because it is full."""
         wait_s = max(retry_after_s, HINT_TTL_S)
         self._waits_by_endpoint[endpoint] = TimedWait(wait_s, now)
@@ -135,7 +135,7 @@
         seen = self._copies_by_adapter.get(adapter, {}).get(endpoint)
         return seen is not None and now - seen <= HINT_TTL_S
 
-    def note_moved(
+    def record_moved(
         self, home: str, endpoint: str, adapter: AdapterRef, now: float
     ) -> None:
         """Record that ``home`` has no copy and redirects to ``endpoint``."""
--- a/fescuekeel/components/owner/component.py
+++ b/fescuekeel/components/owner/component.py
@@ -241,7 +241,7 @@
         accepted = not self.instance.draining
         if accepted:
             now = self.instance.now()
-            self.placement.note_handover(offer.endpoint, message.sender, now)
+            self.placement.record_handover(offer.endpoint, message.sender, now)
             self._update_placement()
             self._update_assignments()
             owner = self.owners_by_endpoint.get(offer.endpoint)
--- a/fescuekeel/components/owner/ownership.py
+++ b/fescuekeel/components/owner/ownership.py
@@ -254,13 +254,13 @@
             case PeerReplied():
                 self._handle_peer_reply(event, now)
             case ReportReceived(fence, asked_at):
-                self._note_fence(fence)
+                self._record_fence(fence)
                 self._reported |= asked_at >= self._acquiring_since
                 if fence == self.fence:
-                    self._note_fence_seen(now)
+                    self._record_fence_seen(now)
             case OrderExecuted(fence):
                 if fence == self.fence:
-                    self._note_fence_seen(now)
+                    self._record_fence_seen(now)
             case StaleFence(fence):
                 effects += self._handle_stale_fence(fence, now)
             case OrderUnconfirmed():
@@ -269,7 +269,7 @@
                 pass
         return effects + self._try_gain(now, wall_ms)
 
-    def _note_fence(self, fence: int) -> None:
+    def _record_fence(self, fence: int) -> None:
         self.highest_fence = max(self.highest_fence, fence)
 
     def _check_lease(self, now: float) -> list[OwnershipEffect]:
@@ -317,7 +317,7 @@
 
     def _handle_offer(self, event: HandoverOffered) -> list[OwnershipEffect]:
         """Ask the previous owner to confirm the offer, which may be stale."""
-        self._note_fence(event.fence)
+        self._record_fence(event.fence)
         if self.state is OwnershipState.ABSENT:
             return []
         return [AskPeers(frozenset({event.by}))]
@@ -330,14 +330,14 @@
         is therefore valid only while it is younger than a lease.
         """
         self._pending_peers.discard(event.instance)
-        self._note_fence(event.fence)
+        self._record_fence(event.fence)
         fresh = now - event.asked_at <= PEERS_TIMEOUT_S
         if not event.handed_over or not fresh or self.state is OwnershipState.ABSENT:
             return
         self._previous_lease_until = min(self._previous_lease_until, now)
         self._evict_after = min(self._evict_after, now)
 
-    def _note_fence_seen(self, now: float) -> None:
+    def _record_fence_seen(self, now: float) -> None:
         """Record that the endpoint refuses orders of previous owners."""
         if self.state is OwnershipState.OWNED and self._fenced:
             self._evict_after = min(self._evict_after, now + REPORT_LAG_S)
@@ -366,7 +366,7 @@
         but only after a lease. Otherwise two owners with different views would
         fence each other off at every order.
         """
-        self._note_fence(fence)
+        self._record_fence(fence)
         if self.state is not OwnershipState.OWNED or fence <= self.fence:
             return []
         self.state = OwnershipState.ABSENT
@@ -391,4 +391,4 @@
         self.fence = make_fence(
             wall_ms, self._counter, self.instance_id, self.highest_fence
         )
-        self._note_fence(self.fence)
+        self._record_fence(self.fence)
--- a/fescuekeel/components/owner/placement.py
+++ b/fescuekeel/components/owner/placement.py
@@ -40,7 +40,7 @@
     owners_by_endpoint: dict[str, str | None] = field(default_factory=dict)
     _handovers_by_endpoint: dict[str, Handover] = field(default_factory=dict)
 
-    def note_handover(self, endpoint: str, by: str, now: float) -> None:
+    def record_handover(self, endpoint: str, by: str, now: float) -> None:
         """Record that instance ``by`` handed an endpoint over."""
         self._handovers_by_endpoint[endpoint] = Handover(by, now + HANDOVER_OVERRIDE_S)
 
--- a/fescuekeel/components/placement/admission.py
+++ b/fescuekeel/components/placement/admission.py
@@ -90,20 +90,20 @@
         for decision in queue.pacer.drain():
             self._answer(queue, decision, AdmitAnswer(decision.granted))
 
-    def note_speed(
+    def record_speed(
         self, record: EndpointRecord, scheduler: AdapterScheduler, tokens_per_s: float
     ) -> None:
         """Record an instance's sample of an engine's prefill speed."""
         pacer = self._get_queue(record, scheduler).pacer
-        pacer.note_speed(tokens_per_s)
+        pacer.record_speed(tokens_per_s)
         self._speeds_by_service[record.service] = pacer.tokens_per_s
 
-    def note_pause(
+    def record_pause(
         self, record: EndpointRecord, scheduler: AdapterScheduler, pause: float
     ) -> None:
         """Record the longest pause that an instance has seen in a stream."""
         pacer = self._get_queue(record, scheduler).pacer
-        pacer.note_pause(pause, self._instance.now())
+        pacer.record_pause(pause, self._instance.now())
 
     def _get_queue(
         self, record: EndpointRecord, scheduler: AdapterScheduler
@@ -133,7 +133,7 @@
         queue = self._get_queue(record, scheduler)
         number = next(self._numbers)
         weights = Weights(request.model, request.adapter)
-        scheduler.usage.note_prompt_waiting(weights)
+        scheduler.usage.record_prompt_waiting(weights)
         queue.waiting_by_number[number] = WaitingPrompt(message, weights)
         now = self._instance.now()
         queue.pacer.enqueue(
@@ -178,7 +178,7 @@
             version=scheduler.get_servable_version(waiting.weights) or 0,
         )
         sender = waiting.message.sender
-        scheduler.usage.note_prompt_decided(
+        scheduler.usage.record_prompt_decided(
             waiting.weights, sender, decision.granted, now
         )
         get_peer_link(self._instance).answer(waiting.message, answer)
--- a/fescuekeel/components/placement/backoff.py
+++ b/fescuekeel/components/placement/backoff.py
@@ -20,7 +20,7 @@
     example while the endpoint waits for streams before an unload.
 
     >>> backoff = OrderBackoff()
-    >>> backoff.note_reply(OrderReply.BUSY, now=1.0)
+    >>> backoff.record_reply(OrderReply.BUSY, now=1.0)
     >>> backoff.may_order(now=1.01), backoff.may_order(now=1.1)
     (False, True)
     """
@@ -29,7 +29,7 @@
     _since: float | None = None
     _retry_s: float = ORDER_RETRY_S
 
-    def note_reply(self, reply: OrderReply | None, now: float) -> None:
+    def record_reply(self, reply: OrderReply | None, now: float) -> None:
         """Record the reply to an order; ``None`` if there was none."""
         if reply not in (OrderReply.BUSY, OrderReply.UNAVAILABLE):
             self._since = None
--- a/fescuekeel/components/placement/candidates.py
+++ b/fescuekeel/components/placement/candidates.py
@@ -124,7 +124,7 @@
     )
     _seen_endpoints: dict[str, None] = field(default_factory=dict)
 
-    def note_eligible(
+    def record_eligible(
         self,
         data_centres: Collection[str],
         candidates: CandidateTable,
@@ -152,7 +152,7 @@
         """Clear the eligible sets, after a suspension."""
         self._eligible_sets_by_data_centre.clear()
 
-    def note_seen(self, endpoints: Collection[str]) -> None:
+    def record_seen(self, endpoints: Collection[str]) -> None:
         """Record which endpoints exist."""
         self._seen_endpoints.update(dict.fromkeys(endpoints))
         excess = len(self._seen_endpoints) - MAX_SEEN_ENDPOINTS
--- a/fescuekeel/components/placement/claims.py
+++ b/fescuekeel/components/placement/claims.py
@@ -192,7 +192,7 @@
             if self._step_endpoint(record, members_by_id, left, revision, now):
                 newly_held.append(name)
         if changed:
-            self._history.note_seen(endpoints_by_name)
+            self._history.record_seen(endpoints_by_name)
         return newly_held
 
     def _update_candidacies(
@@ -212,7 +212,7 @@
             return False
         self._last_inputs = (endpoints_by_name, members_by_id)
         centres = {record.data_centre for record in endpoints_by_name.values()}
-        self._history.note_eligible(centres, self._candidates, members_by_id, now)
+        self._history.record_eligible(centres, self._candidates, members_by_id, now)
         for known in list(self.own_claims_by_endpoint):
             if known not in endpoints_by_name:
                 del self.own_claims_by_endpoint[known]
@@ -336,7 +336,7 @@
         )
         return min(MAX_TERM - 1, max(lowest + 1, min(revision, MAX_TERM // 2)))
 
-    def note_contact(self, endpoint: str, answered: bool, now: float) -> None:
+    def record_contact(self, endpoint: str, answered: bool, now: float) -> None:
         """Record whether an endpoint claimed here has answered."""
         own = self.own_claims_by_endpoint.get(endpoint)
         if own is None:
@@ -381,13 +381,13 @@
             return False
         return now - own.last_contact <= CONTACT_TIMEOUT_S
 
-    def note_order(self, endpoint: str, now: float) -> None:
+    def record_order(self, endpoint: str, now: float) -> None:
         """Record that an order was sent."""
         own = self.own_claims_by_endpoint.get(endpoint)
         if own is not None:
             own.last_order = now
 
-    def note_fenced(self, endpoint: str, now: float) -> None:
+    def record_fenced(self, endpoint: str, now: float) -> None:
         """Release a claim whose fencing token the endpoint rejected.
 
         Another holder has a higher one. The next claim begins after a lease
--- a/fescuekeel/components/placement/component.py
+++ b/fescuekeel/components/placement/component.py
@@ -346,13 +346,13 @@
                 continue
             if endpoint.tokens_per_s:
                 speed = endpoint.tokens_per_s
-                self._admission.note_speed(holder.record, holder.scheduler, speed)
+                self._admission.record_speed(holder.record, holder.scheduler, speed)
             if endpoint.pause_percent:
                 pause = endpoint.pause_percent / 100
-                self._admission.note_pause(holder.record, holder.scheduler, pause)
+                self._admission.record_pause(holder.record, holder.scheduler, pause)
             for use in endpoint.uses:
                 weights = Weights(use.model, use.adapter)
-                holder.scheduler.usage.note_use(
+                holder.scheduler.usage.record_use(
                     sender, weights, use.running, use.begun, now
                 )
             holder.wake_if_waiting()
--- a/fescuekeel/components/placement/holder.py
+++ b/fescuekeel/components/placement/holder.py
@@ -103,7 +103,7 @@
         if newly_held:
             self._fencing_token_sent = not self._claims.fenced
         if newly_held and not self.has_held:
-            self.scheduler.usage.note_claim_held(self._instance.now())
+            self.scheduler.usage.record_claim_held(self._instance.now())
         self._held = held
         self.has_held = self.has_held or held
         return newly_held
@@ -136,13 +136,13 @@
         requested_at = self._instance.now()
         report = await self._link.fetch_report()
         now = self._instance.now()
-        self._claims.note_contact(self.record.name, report is not None, now)
+        self._claims.record_contact(self.record.name, report is not None, now)
         if report is None or not self._is_current_incarnation(report):
             return
         self._report_requested_at = requested_at
         self._log_foreign_orders(report)
         before = self.scheduler.list_servable()
-        self.scheduler.note_report(report, requested_at, now)
+        self.scheduler.record_report(report, requested_at, now)
         if self.scheduler.list_servable() != before:
             self._on_changed()
 
@@ -217,7 +217,7 @@
         name = self.record.name
         own = self._claims.own_claims_by_endpoint.get(name)
         if own is None or not own.held:
-            self.scheduler.note_reply(
+            self.scheduler.record_reply(
                 effect, OrderReply.UNAVAILABLE, self._instance.now()
             )
             return False
@@ -231,13 +231,13 @@
             after_orders,
         )
         sent_at = self._instance.now()
-        self._claims.note_order(name, sent_at)
+        self._claims.record_order(name, sent_at)
         reply = await self._link.send_order(order, self._may_order)
         now = self._instance.now()
         answered = reply is not None and reply is not OrderReply.UNAVAILABLE
-        self._claims.note_order(name, now)
-        self._claims.note_contact(name, answered, now)
-        self.scheduler.note_reply(effect, reply, now)
+        self._claims.record_order(name, now)
+        self._claims.record_contact(name, answered, now)
+        self.scheduler.record_reply(effect, reply, now)
         outcome = "unanswered" if reply is None else reply.value
         self._instance.metrics.count(f"placement.order.{effect.kind}.{outcome}")
         if effect.is_repeat and reply is OrderReply.ACCEPTED:
@@ -258,7 +258,7 @@
             outcome=outcome,
         )
         if reply is OrderReply.FENCED:
-            self._claims.note_fenced(name, now)
+            self._claims.record_fenced(name, now)
         return answered and reply is not OrderReply.BUSY
 
     def _may_order(self) -> bool:
--- a/fescuekeel/components/placement/holdings.py
+++ b/fescuekeel/components/placement/holdings.py
@@ -15,8 +15,8 @@
     """The weights of an endpoint, with their versions.
 
     >>> holdings, cards = Holdings(), Weights("m", "cards")
-    >>> holdings.note_loaded(cards, 2, ordered_at=1.0, now=1.3)
-    >>> holdings.note_unloaded(cards, now=2.0)
+    >>> holdings.record_loaded(cards, 2, ordered_at=1.0, now=1.3)
+    >>> holdings.record_unloaded(cards, now=2.0)
     >>> cards in holdings.held, holdings.is_warm(cards)
     (False, True)
     """
@@ -48,7 +48,7 @@
         for weights in self._loads.keys() - held.keys():
             del self._loads[weights]
 
-    def note_loaded(
+    def record_loaded(
         self, weights: Weights, version: int, ordered_at: float, now: float
     ) -> None:
         """Record that weights are held."""
@@ -56,7 +56,7 @@
         self._loads[weights] = LoadTimes(ordered_at, now)
         self._unloaded_at.pop(weights, None)
 
-    def note_unloaded(self, weights: Weights, now: float) -> None:
+    def record_unloaded(self, weights: Weights, now: float) -> None:
         """Record an unload; the endpoint keeps a copy in memory."""
         self.held.pop(weights, None)
         self._unloaded_at.pop(weights, None)
--- a/fescuekeel/components/placement/load_clock.py
+++ b/fescuekeel/components/placement/load_clock.py
@@ -26,7 +26,7 @@
 
     >>> estimator = LoadTimeEstimator()
     >>> for _ in range(50):
-    ...     estimator.note_load(0.5, warm=False)
+    ...     estimator.record_load(0.5, warm=False)
     >>> round(estimator.get_first_check_s(warm=False), 2)
     0.49
     """
@@ -44,7 +44,7 @@
         """
         return max(1, int(self._concurrency))
 
-    def note_load(self, took_s: float, warm: bool) -> None:
+    def record_load(self, took_s: float, warm: bool) -> None:
         """Record the duration of a load, until it was seen to be done."""
         if warm:
             return
--- a/fescuekeel/components/placement/order_count.py
+++ b/fescuekeel/components/placement/order_count.py
@@ -34,9 +34,9 @@
     sent while it is false would be refused as well.
 
     >>> count = OrderCount()
-    >>> count.note_report(7, requested_at=0.0)
+    >>> count.record_report(7, requested_at=0.0)
     True
-    >>> count.note_accepted(now=0.1)
+    >>> count.record_accepted(now=0.1)
     >>> count.value, count.compare(7), count.compare(9)
     (8, <ReportAge.OLDER: 1>, <ReportAge.NEWER: 3>)
     """
@@ -51,7 +51,7 @@
             return ReportAge.CURRENT
         return ReportAge.OLDER if reported < self.value else ReportAge.NEWER
 
-    def note_report(self, reported: int, requested_at: float) -> bool:
+    def record_report(self, reported: int, requested_at: float) -> bool:
         """Apply a report's count; return false if the report is outdated.
 
         A report need not include own orders sent within the report lag. If one
@@ -64,7 +64,7 @@
         self.confirmed = True
         return True
 
-    def note_reply(
+    def record_reply(
         self, order: SendOrder, reply: OrderReply | None, now: float
     ) -> None:
         """Apply the reply to an own order; ``None`` if there was none.
@@ -77,9 +77,9 @@
         elif reply is OrderReply.BUSY:
             self.confirmed = False
         elif at_once or (reply is OrderReply.ACCEPTED and not order.is_repeat):
-            self.note_accepted(now)
+            self.record_accepted(now)
 
-    def note_accepted(self, now: float) -> None:
+    def record_accepted(self, now: float) -> None:
         """Count an own order that the endpoint has accepted."""
         if self.value is not None:
             self.value += 1
--- a/fescuekeel/components/placement/pacing.py
+++ b/fescuekeel/components/placement/pacing.py
@@ -88,7 +88,7 @@
         """Return the token budget of a window."""
         return self.window_s * self.share * self.tokens_per_s
 
-    def note_speed(self, tokens_per_s: float) -> None:
+    def record_speed(self, tokens_per_s: float) -> None:
         """Add a sample of the engine's prefill speed.
 
         Prompts that were read concurrently yield low samples, which throttles
@@ -100,7 +100,7 @@
         sample = min(fastest, max(slowest, tokens_per_s))
         self.tokens_per_s += SPEED_WEIGHT * (sample - self.tokens_per_s)
 
-    def note_pause(self, pause: float, now: float) -> None:
+    def record_pause(self, pause: float, now: float) -> None:
         """Lower the share after a long pause, at most once a window.
 
         ``pause`` is relative to the accepted pause. Pauses depend on the
--- a/fescuekeel/components/placement/publisher.py
+++ b/fescuekeel/components/placement/publisher.py
@@ -62,7 +62,7 @@
 
     def start(self) -> None:
         """Subscribe to lost connections."""
-        self._instance.bus.subscribe(PeerConnectionLost, self._note_peer_lost)
+        self._instance.bus.subscribe(PeerConnectionLost, self._record_peer_lost)
 
     def forget(self, endpoint: str) -> None:
         """Forget an endpoint that is no longer held."""
@@ -170,7 +170,7 @@
         if states:
             get_peer_link(self._instance).send_all(newcomers, PlacementNews(states))
 
-    def _note_peer_lost(self, lost: PeerConnectionLost) -> None:
+    def _record_peer_lost(self, lost: PeerConnectionLost) -> None:
         self._sent_incarnations.pop(lost.instance_id, None)
         self._last_view = None
 
--- a/fescuekeel/components/placement/scheduler.py
+++ b/fescuekeel/components/placement/scheduler.py
@@ -145,7 +145,7 @@
         """Add a load request."""
         self.requests_by_number[request.number] = request
 
-    def note_report(
+    def record_report(
         self, report: EndpointReport, requested_at: float, now: float
     ) -> None:
         """Apply a report that was requested at ``requested_at``.
@@ -153,9 +153,9 @@
         Guards against a report that is older than an order, since reports lag.
         """
         self.running = report.running
-        self.usage.note_report(report.running)
+        self.usage.record_report(report.running)
         current = self.order_count.compare(report.orders_taken) is ReportAge.CURRENT
-        if not self.order_count.note_report(report.orders_taken, requested_at):
+        if not self.order_count.record_report(report.orders_taken, requested_at):
             return
         own = self.orders_by_weights
         self.holdings.apply_report(report, current, own, now)
@@ -179,7 +179,7 @@
     def _get_order_ttl_s(self, weights: Weights) -> float:
         return ORDER_LOST_S if weights.adapter else MODEL_LOAD_LOST_S
 
-    def note_reply(
+    def record_reply(
         self, order: SendOrder, reply: OrderReply | None, now: float
     ) -> None:
         """Apply the reply to an order; ``None`` if there was none.
@@ -192,29 +192,29 @@
         under_way = self.orders_by_weights.get(weights)
         if under_way is None:
             return
-        self.order_count.note_reply(order, reply, now)
+        self.order_count.record_reply(order, reply, now)
         if reply is OrderReply.HOLDS_ALREADY:
             del self.orders_by_weights[weights]
-            self._note_done(order, under_way.sent_at, now)
+            self._record_done(order, under_way.sent_at, now)
         elif reply is None or reply is OrderReply.ACCEPTED or order.is_repeat:
             under_way.accepted = True
         else:
             del self.orders_by_weights[weights]
-        self.backoff.note_reply(reply, now)
+        self.backoff.record_reply(reply, now)
 
     def withdraw(self, order: SendOrder) -> None:
         """Drop an order that was decided on but not sent."""
         if not order.is_repeat:
             self.orders_by_weights.pop(order.weights, None)
 
-    def _note_done(self, order: SendOrder, sent_at: float, now: float) -> None:
+    def _record_done(self, order: SendOrder, sent_at: float, now: float) -> None:
         weights = order.weights
         if order.kind is OrderKind.UNLOAD:
-            self.holdings.note_unloaded(weights, now)
+            self.holdings.record_unloaded(weights, now)
             return
         warm = self.holdings.is_warm(weights)
-        self.holdings.note_loaded(weights, order.version or 0, sent_at, now)
-        self._estimator.note_load(now - sent_at, warm or not order.is_repeat)
+        self.holdings.record_loaded(weights, order.version or 0, sent_at, now)
+        self._estimator.record_load(now - sent_at, warm or not order.is_repeat)
 
     # Decisions.
 
--- a/fescuekeel/components/placement/usage.py
+++ b/fescuekeel/components/placement/usage.py
@@ -25,11 +25,11 @@
     prompt in transit, and an idle adapter can be unloaded without notice.
 
     >>> usage, cups = WeightUsage(), Weights("m", "cups")
-    >>> usage.note_prompt_waiting(cups)
-    >>> usage.note_prompt_decided(cups, "i1", granted=True, now=0.0)
+    >>> usage.record_prompt_waiting(cups)
+    >>> usage.record_prompt_decided(cups, "i1", granted=True, now=0.0)
     >>> usage.is_in_use(cups, now=0.1)
     True
-    >>> usage.note_use("i1", cups, running=0, begun=1, now=0.5)
+    >>> usage.record_use("i1", cups, running=0, begun=1, now=0.5)
     >>> usage.is_in_use(cups, now=0.6)
     False
     """
@@ -42,19 +42,19 @@
     _held_since: float | None = None
     _endpoint_running: int = 0
 
-    def note_claim_held(self, now: float) -> None:
+    def record_claim_held(self, now: float) -> None:
         """Record that this instance holds the endpoint from now on."""
         self._held_since = now
 
-    def note_report(self, running: int) -> None:
+    def record_report(self, running: int) -> None:
         """Record how many requests the endpoint reports as running."""
         self._endpoint_running = running
 
-    def note_prompt_waiting(self, weights: Weights) -> None:
+    def record_prompt_waiting(self, weights: Weights) -> None:
         """Count a prompt that waits for admission."""
         self._waiting[weights] += 1
 
-    def note_prompt_decided(
+    def record_prompt_decided(
         self, weights: Weights, instance_id: str, granted: bool, now: float
     ) -> None:
         """Record that a waiting prompt was admitted or refused."""
@@ -64,7 +64,7 @@
         if granted:
             self._granted.setdefault(weights, {})[instance_id] = now
 
-    def note_use(
+    def record_use(
         self, instance_id: str, weights: Weights, running: int, begun: int, now: float
     ) -> None:
         """Apply an instance's use update."""
--- a/fescuekeel/helpers/freshness.py
+++ b/fescuekeel/helpers/freshness.py
@@ -18,14 +18,14 @@
     it may have been delayed. The clock must advance during suspend.
 
     >>> freshness = Freshness()
-    >>> freshness.note_confirmed(asked=7.0, age_s=1.0)
+    >>> freshness.record_confirmed(asked=7.0, age_s=1.0)
     >>> freshness.read_age_s(now=10.0)
     4.0
     """
 
     confirmed_at: float = float("-inf")
 
-    def note_confirmed(self, asked: float, age_s: float) -> None:
+    def record_confirmed(self, asked: float, age_s: float) -> None:
         """Apply the response to a request that was sent at ``asked``."""
         self.confirmed_at = max(self.confirmed_at, asked - age_s)
 
--- a/fescuekeel/helpers/placement_view.py
+++ b/fescuekeel/helpers/placement_view.py
@@ -139,7 +139,7 @@
         holder = holder or self._redirects_by_endpoint.get(endpoint)
         return holder or self.find_candidate(endpoint)
 
-    def note_redirect(self, endpoint: str, asked: str, holder: str) -> bool:
+    def record_redirect(self, endpoint: str, asked: str, holder: str) -> bool:
         """Record a redirect to another holder; return whether it names one."""
         if self._redirects_by_endpoint.get(endpoint) == asked:
             del self._redirects_by_endpoint[endpoint]
@@ -148,7 +148,7 @@
         self._redirects_by_endpoint[endpoint] = holder
         return True
 
-    def note_unresponsive(self, holder: str, now: float) -> None:
+    def record_unresponsive(self, holder: str, now: float) -> None:
         """Stop asking an unresponsive holder for a while."""
         self._backoff_until_by_holder[holder] = now + HOLDER_BACKOFF_S
         for endpoint, answered in list(self._redirects_by_endpoint.items()):
@@ -190,7 +190,7 @@
 
     # Replies to requests.
 
-    def note_held(
+    def record_held(
         self, endpoint: str, weights: Weights, version: int, now: float
     ) -> None:
         """Record weights that a holder reported loaded in a reply."""
@@ -199,7 +199,7 @@
             state.held[weights] = version
         self._set_override(endpoint, weights, VersionOverride(now, version))
 
-    def note_missing(self, endpoint: str, weights: Weights, now: float) -> None:
+    def record_missing(self, endpoint: str, weights: Weights, now: float) -> None:
         """Record that an endpoint rejected a request for missing weights.
 
         Prevents retries to the same endpoint before the holder's next update.
@@ -218,7 +218,7 @@
         if len(overrides) > MAX_OVERRIDES:
             del overrides[next(iter(overrides))]
 
-    def note_load(
+    def record_load(
         self, endpoint: str, running: int, pending_tokens: int, now: float
     ) -> None:
         """Record the load of an endpoint from a holder's reply."""
--- a/tests/components/catalog/test_confirmation.py
+++ b/tests/components/catalog/test_confirmation.py
@@ -57,13 +57,13 @@
         quiet = StoreReply(StoreStatus.OK, (), 7)
         freshness = Freshness()
         changed_at = 10.0 + wait_s - 0.01
-        freshness.note_confirmed(
+        freshness.record_confirmed(
             find_confirmed_at(watch, changed, 10.0, changed_at, 0.0), 0.0
         )
         asked_at = changed_at + batch_delay_s
         replied_at = asked_at + wait_s + 0.05
         oldest_s = freshness.read_age_s(replied_at)
-        freshness.note_confirmed(
+        freshness.record_confirmed(
             find_confirmed_at(watch, quiet, asked_at, replied_at, 0.0), 0.0
         )
         # A peer checks once a news period, and needs a minimum gain in age.
@@ -81,31 +81,31 @@
         """Two partitioned instances kept confirming each other's catalog."""
         ages = [Freshness(), Freshness()]
         for item in ages:
-            item.note_confirmed(asked=0.0, age_s=0.0)
+            item.record_confirmed(asked=0.0, age_s=0.0)
         for now in range(1, 20):
             asker, answerer = ages[now % 2], ages[(now + 1) % 2]
-            asker.note_confirmed(now - 0.1, answerer.read_age_s(now))
+            asker.record_confirmed(now - 0.1, answerer.read_age_s(now))
         assert all(item.read_age_s(20.0) >= 20.0 for item in ages)
 
     @given(st.lists(st.tuples(st.floats(0, 100), st.floats(0, 100))))
     def test_age_is_never_below_that_of_the_freshest_answer(self, answers):
         freshness = Freshness()
         for asked, age_s in answers:
-            freshness.note_confirmed(asked, age_s)
+            freshness.record_confirmed(asked, age_s)
         best = max((asked - age_s for asked, age_s in answers), default=-1e9)
         assert freshness.read_age_s(200.0) >= min(200.0 - best, 200.0)
 
     def test_freshest_peer_that_answers_is_chosen(self):
         peer_ages = PeerAges()
-        peer_ages.note_news("i1", 0.9, now=10.0)
-        peer_ages.note_news("i2", 0.2, now=10.0)
+        peer_ages.record_news("i1", 0.9, now=10.0)
+        peer_ages.record_news("i2", 0.2, now=10.0)
         assert peer_ages.choose(3.0, now=10.1) == "i2"
         peer_ages.drop_peer("i2")
         assert peer_ages.choose(3.0, now=10.1) == "i1"
 
     def test_no_peer_is_chosen_for_old_news_or_little_gain(self):
         peer_ages = PeerAges()
-        peer_ages.note_news("i1", 0.2, now=10.0)
+        peer_ages.record_news("i1", 0.2, now=10.0)
         assert peer_ages.choose(3.0, now=20.0) is None
-        peer_ages.note_news("i1", 2.9, now=30.0)
+        peer_ages.record_news("i1", 2.9, now=30.0)
         assert peer_ages.choose(3.0, now=30.0) is None
--- a/tests/components/catalog/test_watcher_selection.py
+++ b/tests/components/catalog/test_watcher_selection.py
@@ -15,7 +15,7 @@
         selection = WatcherSelection(member.id, member.data_centre)
         for peer in active:
             if peer != member.id:
-                selection.note_watcher(peer, 0.0)
+                selection.record_watcher(peer, 0.0)
         if selection.must_watch(members, 0.1):
             watching.append(member.id)
     return watching
@@ -39,8 +39,8 @@
     def test_instance_watches_itself_when_no_watcher_sends_news(self):
         """All watchers died at once, and later changes reached nobody."""
         selection = WatcherSelection("i24", "dc1")
-        selection.note_watcher("i0", 0.0)
-        selection.note_watcher("i1", 0.3)
+        selection.record_watcher("i0", 0.0)
+        selection.record_watcher("i1", 0.3)
         assert selection.must_watch(FLEET, 0.3 + WATCHER_TIMEOUT_S + 0.01)
 
     def test_all_watch_in_a_small_data_centre(self):
--- a/tests/components/forward/test_attempts.py
+++ b/tests/components/forward/test_attempts.py
@@ -17,7 +17,7 @@
 def make_state(safe=False, resumable=False, max_attempts=1, sent=("e1",)):
     state = RequestState(safe, resumable, max_attempts)
     for endpoint in sent:
-        state.note_sent(endpoint)
+        state.record_sent(endpoint)
     return state
 
 
@@ -47,7 +47,7 @@
     def test_failure_is_retried_up_to_max_attempts(self):
         state = make_state(safe=True, max_attempts=2)
         assert decide(state, AttemptEnd.FAILED).step is Step.RETRY
-        state.note_sent("e2")
+        state.record_sent("e2")
         assert decide(state, AttemptEnd.FAILED).step is Step.PASS_ON
 
     def test_distinct_endpoints_are_limited_by_max_attempts(self):
@@ -83,7 +83,7 @@
         ran = False
         for number, end in enumerate(ends):
             if end is not AttemptEnd.UNSENT:
-                state.note_sent(f"e{number}")
+                state.record_sent(f"e{number}")
             ran = ran or end in RAN
             step = decide(state, end)
             if ran:
--- a/tests/components/forward/test_choice.py
+++ b/tests/components/forward/test_choice.py
@@ -139,7 +139,7 @@
         for loaded in range(20):
             scenario = self.make_scenario()
             for number in range(loaded * 3):
-                scenario.view.note_load(f"e{number:02}", 12, 20_000, NOW)
+                scenario.view.record_load(f"e{number:02}", 12, 20_000, NOW)
             homes.add(scenario.choose(ask()).endpoint)
         assert len(homes) <= HOMES_PER_ADAPTER
 
@@ -191,28 +191,28 @@
         """
         scenario = Scenario()
         for _ in range(10):
-            scenario.loads["e1"].health.note_result(True, NOW)
+            scenario.loads["e1"].health.record_result(True, NOW)
         assert scenario.choose_plain().endpoint != "e1"
 
     def test_failures_common_to_all_endpoints_exclude_none(self):
         scenario = Scenario()
         for load in scenario.loads.values():
             for _ in range(10):
-                load.health.note_result(True, NOW)
+                load.health.record_result(True, NOW)
         assert scenario.choose_plain(centre="dc1").endpoint == "e2"
 
     def test_unresponsive_endpoint_is_avoided(self):
         scenario = Scenario()
-        scenario.loads["e1"].health.note_sent(NOW - 5.0)
-        scenario.loads["e2"].health.note_sent(NOW - 5.0)
-        scenario.loads["e2"].health.note_received(NOW - 0.1)
+        scenario.loads["e1"].health.record_sent(NOW - 5.0)
+        scenario.loads["e2"].health.record_sent(NOW - 5.0)
+        scenario.loads["e2"].health.record_received(NOW - 0.1)
         chosen = {scenario.choose_plain(tried=("e3",)).endpoint}
         assert chosen == {"e2"}
 
     def test_unreachable_endpoint_is_chosen_if_there_is_no_other(self):
         scenario = Scenario()
         for load in scenario.loads.values():
-            load.health.note_unreachable(NOW)
+            load.health.record_unreachable(NOW)
         assert scenario.choose_plain() is not None
 
 
--- a/tests/components/forward/test_isolation.py
+++ b/tests/components/forward/test_isolation.py
@@ -10,9 +10,9 @@
 def make_isolation(unreachable=("dc2", "dc3"), reached=(), now=10.0):
     isolation = Isolation("dc1")
     for centre in reached:
-        isolation.note_reached(centre, now)
+        isolation.record_reached(centre, now)
     for centre in unreachable:
-        isolation.note_connect_failed(centre, now + 0.1)
+        isolation.record_connect_failed(centre, now + 0.1)
     return isolation
 
 
@@ -27,7 +27,7 @@
 
     def test_contact_with_another_data_centre_ends_it(self):
         isolation = make_isolation()
-        isolation.note_reached("dc2", 10.5)
+        isolation.record_reached("dc2", 10.5)
         assert not isolation.is_cut_off(10.6)
 
     def test_it_begins_after_a_time_without_contact(self):
@@ -40,14 +40,14 @@
         isolation = make_isolation(unreachable=("dc2",))
         assert not isolation.is_cut_off(10.2)
         isolation = make_isolation(unreachable=("dc2", "dc3"))
-        isolation.note_reached("dc4", 10.1)
+        isolation.record_reached("dc4", 10.1)
         assert not isolation.is_cut_off(10.2)
 
     def test_own_data_centre_does_not_count(self):
         isolation = make_isolation(unreachable=("dc1", "dc2"))
         assert not isolation.is_cut_off(10.2)
         isolation = make_isolation()
-        isolation.note_reached("dc1", 10.2)
+        isolation.record_reached("dc1", 10.2)
         assert isolation.is_cut_off(10.3)
 
     def test_old_failures_expire(self):
--- a/tests/components/forward/test_overhead.py
+++ b/tests/components/forward/test_overhead.py
@@ -33,7 +33,7 @@
         load = EndpointLoad()
         load.begin(None, 1200)
         wait_s = FIRST_S + 1200 / TOKENS_PER_S
-        load.note_first_chunk(1200, 0, wait_s, FIRST_S, 0.0)
+        load.record_first_chunk(1200, 0, wait_s, FIRST_S, 0.0)
         assert abs(load.speeds[0] - TOKENS_PER_S) < 1
 
     def test_speed_is_sampled_with_other_prompts_ahead(self):
@@ -42,7 +42,7 @@
         load.begin(None, 4000)
         load.begin(None, 1200)
         wait_s = FIRST_S + 1200 / TOKENS_PER_S
-        load.note_first_chunk(1200, 4000, wait_s, FIRST_S, 0.0)
+        load.record_first_chunk(1200, 4000, wait_s, FIRST_S, 0.0)
         assert abs(load.speeds[0] - TOKENS_PER_S) < 1
 
     def test_default_is_used_without_enough_samples(self):
--- a/tests/components/forward/test_parts.py
+++ b/tests/components/forward/test_parts.py
@@ -63,7 +63,7 @@
     def test_budget_grows_with_requests(self):
         budget = RetryBudget(0.2, 0.0, 10.0)
         for _ in range(100):
-            budget.note_request("s", 0.0)
+            budget.record_request("s", 0.0)
         assert sum(budget.spend("s", 1.0) for _ in range(100)) == 14
 
 
--- a/tests/components/forward/test_search.py
+++ b/tests/components/forward/test_search.py
@@ -24,7 +24,7 @@
         search = Search(until=10.0)
         for number in range(MAX_CONGESTED):
             assert not search.may_queue_at(f"e{number}")
-            search.note_not_admitted(f"e{number}", CONGESTED, patient=False)
+            search.record_not_admitted(f"e{number}", CONGESTED, patient=False)
         assert search.may_queue_at("e0")
         assert search.avoided == set()
         assert not search.is_exhausted(0.0)
@@ -33,13 +33,13 @@
         search = Search(until=10.0)
         for number in range(MAX_REFUSALS):
             assert not search.is_exhausted(0.0)
-            search.note_not_admitted(f"e{number}", CONGESTED, patient=True)
+            search.record_not_admitted(f"e{number}", CONGESTED, patient=True)
         assert search.is_exhausted(0.0)
         assert search.failure.retry_after_s
 
     def test_missing_adapter_does_not_mark_an_endpoint_as_congested(self):
         search = Search(until=10.0)
-        search.note_not_admitted(
+        search.record_not_admitted(
             "e1", AdmitAnswer(False, reason=NOT_HELD), patient=False
         )
         assert search.avoided == set()
@@ -130,14 +130,14 @@
     def load(self, now, number, search, id, patient):
         _, instance = self.requests[number]
         if not patient and self.is_congested(id):
-            search.note_congested(id)
+            search.record_congested(id)
             self.schedule(now + 0.003, self.search, number, search)
             return
         ready = self.loaded_at_by_id.setdefault(id, now + self.LOAD_S)
         if now < ready:
             self.incoming_tokens[id] += self.TOKENS
             self.schedule(ready, self.end_load, id)
-        self.views[instance].note_held(id, CARDS, 0, max(now, ready))
+        self.views[instance].record_held(id, CARDS, 0, max(now, ready))
         self.schedule(max(now + 0.003, ready), self.search, number, search)
 
     def is_congested(self, id):
@@ -161,13 +161,13 @@
             arrived, instance, search, patient = self.requests[turn.number]
             self.requests[turn.number] = (arrived, instance)
             view = self.views[instance]
-            view.note_load(id, self.running[id], pacer.count_pending_tokens(now), now)
+            view.record_load(id, self.running[id], pacer.count_pending_tokens(now), now)
             if turn.granted:
                 self.waits.append(now - arrived)
                 self.running[id] += 1
                 self.schedule(now + self.STREAM_S, self.end, id)
                 continue
-            search.note_not_admitted(id, CONGESTED, patient)
+            search.record_not_admitted(id, CONGESTED, patient)
             self.schedule(now + 0.003, self.search, turn.number, search)
         due = pacer.get_next_step()
         if due < float("inf"):
--- a/tests/components/gateway/test_routing.py
+++ b/tests/components/gateway/test_routing.py
@@ -53,7 +53,7 @@
     def test_requests_follow_a_move_until_its_hint_expires(self):
         ranked = routing.rank_endpoints("script", CUPS, make_endpoints())
         hints = routing.Hints()
-        hints.note_moved(ranked[0], ranked[1], CUPS, now=0.0)
+        hints.record_moved(ranked[0], ranked[1], CUPS, now=0.0)
         choice = choose(hints=hints, now=1.0)
         assert (choice.endpoint, choice.reason) == (
             ranked[1],
@@ -72,7 +72,7 @@
         lost = endpoints[ranked[1]].data_centre
         live = sorted({"dc0", "dc1", "dc2"} - {lost})
         hints = routing.Hints()
-        hints.note_moved(ranked[0], ranked[1], CUPS, now=0.0)
+        hints.record_moved(ranked[0], ranked[1], CUPS, now=0.0)
         members = make_members(live)
         choice = choose(hints=hints, endpoints_by_id=endpoints, members_by_id=members)
         assert choice.reason == routing.RouteReason.HOME
@@ -81,7 +81,7 @@
     def test_recorded_moves_are_bounded(self):
         hints = routing.Hints()
         for number in range(routing.MAX_HINTS + 5):
-            hints.note_moved("e1", "e2", AdapterRef(f"a{number}", "1"), now=0.0)
+            hints.record_moved("e1", "e2", AdapterRef(f"a{number}", "1"), now=0.0)
         assert hints.get_move_target(AdapterRef("a4", "1"), 0.0) is None
         assert hints.get_move_target(AdapterRef("a5", "1"), 0.0) == "e2"
 
@@ -90,16 +90,16 @@
     def test_request_spreads_only_if_the_wait_exceeds_a_load(self):
         home = choose().endpoint
         hints = routing.Hints()
-        hints.note_answer(home, CUPS, wait_s=0.4, now=0.0)
+        hints.record_answer(home, CUPS, wait_s=0.4, now=0.0)
         assert choose(hints=hints).reason == routing.RouteReason.HOME
-        hints.note_answer(home, CUPS, wait_s=0.6, now=0.0)
+        hints.record_answer(home, CUPS, wait_s=0.6, now=0.0)
         assert choose(hints=hints).reason == routing.RouteReason.SPREAD
 
     def test_loaded_copy_is_preferred_over_a_load(self):
         ranked = routing.rank_endpoints("script", CUPS, make_endpoints())
         hints = routing.Hints()
-        hints.note_answer(ranked[0], CUPS, wait_s=0.4, now=0.0)
-        hints.note_answer(ranked[2], CUPS, wait_s=0.1, now=0.0)
+        hints.record_answer(ranked[0], CUPS, wait_s=0.4, now=0.0)
+        hints.record_answer(ranked[2], CUPS, wait_s=0.1, now=0.0)
         choice = choose(hints=hints)
         assert (choice.endpoint, choice.reason) == (
             ranked[2],
@@ -108,7 +108,7 @@
 
     def test_hints_decay(self):
         hints = routing.Hints()
-        hints.note_full(choose().endpoint, 30.0, now=0.0)
+        hints.record_full(choose().endpoint, 30.0, now=0.0)
         assert choose(hints=hints).reason == routing.RouteReason.SPREAD
         late = choose(hints=hints, now=60.0)
         assert late.reason == routing.RouteReason.HOME
@@ -116,7 +116,7 @@
     def test_recorded_copies_are_bounded(self):
         hints = routing.Hints()
         for n in range(routing.MAX_HINTS + 10):
-            hints.note_answer("e1", AdapterRef(f"a{n}", "1"), 0.0, now=n / 1e6)
+            hints.record_answer("e1", AdapterRef(f"a{n}", "1"), 0.0, now=n / 1e6)
         assert len(hints._copies_by_adapter) <= routing.MAX_HINTS
 
 
@@ -124,10 +124,10 @@
     def test_less_loaded_of_two_candidates_is_chosen(self):
         hints = routing.Hints()
         first = choose(PLAIN, hints=hints).endpoint
-        hints.note_sent(first)
+        hints.record_sent(first)
         second = choose(PLAIN, hints=hints).endpoint
         assert second != first
-        hints.note_done(first)
+        hints.record_done(first)
         assert choose(PLAIN, hints=hints).endpoint == first
 
 
--- a/tests/components/placement/test_claims.py
+++ b/tests/components/placement/test_claims.py
@@ -36,7 +36,7 @@
 
 def step(claims, now, members=ALONE, revision=0, answered=True):
     """Step once, after the endpoint has answered or not."""
-    claims.note_contact("e1", answered, now)
+    claims.record_contact("e1", answered, now)
     return claims.step(ENDPOINTS, members, (), revision, now)
 
 
@@ -117,9 +117,9 @@
         claims = Claims("i1", LEASE_S)
         run(claims, 0.0, 10.0)
         now = claims.own_claims_by_endpoint["e1"].last_contact
-        claims.note_contact("e1", False, now + 1.0)
+        claims.record_contact("e1", False, now + 1.0)
         assert claims.list_unreachable() == []
-        claims.note_contact("e1", False, now + 2.0)
+        claims.record_contact("e1", False, now + 2.0)
         assert claims.list_unreachable() == ["e1"]
 
 
@@ -132,7 +132,7 @@
         for tenth in range(int(until * 10), int(until * 10) + 60):
             now = tenth / 10
             for id in endpoints:
-                claims.note_contact(id, True, now)
+                claims.record_contact(id, True, now)
             if "e2" in claims.step(endpoints, members, (), 0, now):
                 return now - until
         return None
@@ -164,7 +164,7 @@
         step_through(claims, 0.0, 10.0, members=BOTH)
         endpoints = ENDPOINTS | {"e2": NEW_ENDPOINT}
         for tenth in range(130, 160):
-            claims.note_contact("e2", True, tenth / 10)
+            claims.record_contact("e2", True, tenth / 10)
             assert "e2" not in claims.step(endpoints, BOTH, (), 0, tenth / 10)
 
 
@@ -185,7 +185,7 @@
     def test_unanswered_order_counts_as_lost_contact(self):
         claims = Claims("i1", LEASE_S)
         held = run(claims, 0.0, 10.0)
-        claims.note_contact("e1", False, held + 1.6)
+        claims.record_contact("e1", False, held + 1.6)
         assert claims.list_unreachable() == ["e1"]
 
 
@@ -285,7 +285,7 @@
         """Guards against retrying a token that the endpoint has rejected."""
         claims = Claims("i1", LEASE_S)
         run(claims, 0.0, 10.0, revision=4)
-        claims.note_fenced("e1", 10.0)
+        claims.record_fenced("e1", 10.0)
         assert not claims.may_order("e1", 10.0)
         held = run(claims, 10.0, 20.0, revision=4)
         assert held is not None
@@ -323,11 +323,11 @@
                 if tenth >= seen_at[id]:
                     endpoints["e2"] = NEW_ENDPOINT
                 for endpoint in endpoints:
-                    claims.note_contact(endpoint, True, now)
+                    claims.record_contact(endpoint, True, now)
                 claims.step(endpoints, BOTH, (), 0, now)
                 if claims.may_order("e2", now):
                     orders.append((now, id))
-                    claims.note_order("e2", now)
+                    claims.record_order("e2", now)
                 other = claims_by_id["i2" if id == "i1" else "i1"]
                 for endpoint, own in claims.own_claims_by_endpoint.items():
                     if own.held and tenth % 4 == 0:
@@ -357,7 +357,7 @@
                 step(claims, now, members=BOTH)
                 if claims.may_order("e1", now):
                     orders.append((now, id))
-                    claims.note_order("e1", now)
+                    claims.record_order("e1", now)
                 other = "i2" if id == "i1" else "i1"
                 own = claims.own_claims_by_endpoint.get("e1")
                 sent = own is not None and own.held and tenth % 4 == 0
--- a/tests/components/placement/test_order_count.py
+++ b/tests/components/placement/test_order_count.py
@@ -19,7 +19,7 @@
     report = EndpointReport(
         versions, frozenset(), False, 0, 0, 0, 0, orders_taken=orders_taken
     )
-    scheduler.note_report(report, requested_at=0.0, now=0.0)
+    scheduler.record_report(report, requested_at=0.0, now=0.0)
     return scheduler
 
 
@@ -33,7 +33,7 @@
     def make_count(self):
         """Return a count of four, the last of them an own order at 1.0."""
         count = OrderCount(value=3, confirmed=True)
-        count.note_accepted(now=1.0)
+        count.record_accepted(now=1.0)
         return count
 
     def test_a_report_with_more_orders_shows_another_holder(self):
@@ -44,50 +44,50 @@
     def test_a_report_from_before_an_own_order_is_ignored(self):
         count = self.make_count()
         assert count.compare(3) is ReportAge.OLDER
-        assert not count.note_report(3, requested_at=1.0 + REPORT_LAG_S / 2)
+        assert not count.record_report(3, requested_at=1.0 + REPORT_LAG_S / 2)
         assert count.value == 4
 
     def test_a_count_that_reports_never_confirm_is_replaced(self):
         """Guards against orders that are refused for good."""
         count = self.make_count()
-        assert count.note_report(3, requested_at=1.0 + REPORT_LAG_S)
+        assert count.record_report(3, requested_at=1.0 + REPORT_LAG_S)
         assert count.value == 3
 
     def test_any_report_sets_an_unknown_count(self):
         count = self.make_count()
         count.mark_unknown()
         assert count.compare(2) is ReportAge.CURRENT
-        assert count.note_report(2, requested_at=1.1)
+        assert count.record_report(2, requested_at=1.1)
         assert count.value == 2
 
 
 class TestCountedOrders:
     def test_a_load_counts_once_however_often_it_is_repeated(self):
         scheduler = make_scheduler()
-        scheduler.note_reply(request_load(scheduler, CARDS), OrderReply.ACCEPTED, 1.0)
+        scheduler.record_reply(request_load(scheduler, CARDS), OrderReply.ACCEPTED, 1.0)
         (again,) = scheduler.step({}, 2.0)
-        scheduler.note_reply(again, OrderReply.ACCEPTED, 2.0)
+        scheduler.record_reply(again, OrderReply.ACCEPTED, 2.0)
         (again,) = scheduler.step({}, 2.1)
-        scheduler.note_reply(again, OrderReply.HOLDS_ALREADY, 2.1)
+        scheduler.record_reply(again, OrderReply.HOLDS_ALREADY, 2.1)
         assert scheduler.order_count.value == 6
 
     def test_an_unload_that_is_done_at_once_counts(self):
         scheduler = make_scheduler(held=[CARDS])
-        scheduler.usage.note_claim_held(-10.0)
+        scheduler.usage.record_claim_held(-10.0)
         order = request_load(scheduler, ROPE)
         assert order.kind is OrderKind.UNLOAD
-        scheduler.note_reply(order, OrderReply.HOLDS_ALREADY, 1.0)
+        scheduler.record_reply(order, OrderReply.HOLDS_ALREADY, 1.0)
         assert scheduler.order_count.value == 6
 
     def test_a_refused_order_does_not_count_and_stops_others(self):
         scheduler = make_scheduler()
-        scheduler.note_reply(request_load(scheduler, CARDS), OrderReply.BUSY, 1.0)
+        scheduler.record_reply(request_load(scheduler, CARDS), OrderReply.BUSY, 1.0)
         assert scheduler.order_count.value == 5
         assert scheduler.step({}, 3.0) == []
 
     def test_an_order_without_a_reply_makes_the_count_unknown(self):
         scheduler = make_scheduler()
-        scheduler.note_reply(request_load(scheduler, CARDS), None, 1.0)
+        scheduler.record_reply(request_load(scheduler, CARDS), None, 1.0)
         assert scheduler.order_count.value is None
         assert scheduler.step({}, 3.0) == []
 
--- a/tests/components/placement/test_pacing.py
+++ b/tests/components/placement/test_pacing.py
@@ -56,7 +56,7 @@
     def test_faster_engine_gets_more(self):
         slow, fast = make_pacer(), make_pacer()
         for _ in range(50):
-            fast.note_speed(2 * SPEED)
+            fast.record_speed(2 * SPEED)
         assert fast.limit > 1.8 * slow.limit
 
 
@@ -71,7 +71,7 @@
             pacer.step(now)
             share = pause(pacer.share)
             paused += share >= LONG_PAUSE_RATIO
-            pacer.note_pause(share, now)
+            pacer.record_pause(share, now)
         return paused
 
     def test_share_decreases_while_streams_pause(self):
@@ -89,7 +89,7 @@
     def test_pause_reported_by_several_instances_counts_once(self):
         pacer = make_pacer()
         for _ in range(9):
-            pacer.note_pause(1.5, 10.0)
+            pacer.record_pause(1.5, 10.0)
         assert pacer.share > 0.6
 
     def test_share_increases_without_pauses(self):
--- a/tests/components/placement/test_scheduler.py
+++ b/tests/components/placement/test_scheduler.py
@@ -25,7 +25,7 @@
 
 def make_scheduler(capacity=3, held=()):
     scheduler = AdapterScheduler(capacity, "m")
-    scheduler.note_report(make_report(held), requested_at=0.0, now=0.0)
+    scheduler.record_report(make_report(held), requested_at=0.0, now=0.0)
     return scheduler
 
 
@@ -47,11 +47,11 @@
         scheduler = make_scheduler()
         scheduler.add_request(make_request(1, adapter(1)))
         (order,) = select(scheduler.step({}, 1.0))
-        scheduler.note_reply(order, OrderReply.ACCEPTED, 1.0)
+        scheduler.record_reply(order, OrderReply.ACCEPTED, 1.0)
         assert select(scheduler.step({}, 1.1), LoadResult) == []
         (again,) = select(scheduler.step({}, 1.3))
         assert again.is_repeat
-        scheduler.note_reply(again, OrderReply.HOLDS_ALREADY, 1.3)
+        scheduler.record_reply(again, OrderReply.HOLDS_ALREADY, 1.3)
         (result,) = select(scheduler.step({}, 1.3), LoadResult)
         assert result.loaded
 
@@ -62,7 +62,7 @@
 
     def test_empty_endpoint_gets_its_model_first(self):
         scheduler = AdapterScheduler(3, "m")
-        scheduler.note_report(
+        scheduler.record_report(
             EndpointReport({}, frozenset(), False, 0, 0, 0, 0),
             requested_at=0.0,
             now=0.0,
@@ -91,7 +91,7 @@
     def test_expired_request_ends(self):
         """Guards against loads for requests whose callers have given up."""
         scheduler = make_scheduler(capacity=1, held=[adapter(1)])
-        scheduler.usage.note_prompt_waiting(adapter(1))
+        scheduler.usage.record_prompt_waiting(adapter(1))
         scheduler.add_request(make_request(1, adapter(2), since=5.0))
         (result,) = select(scheduler.step({}, 14.0), LoadResult)
         assert not result.loaded
@@ -104,7 +104,7 @@
         scheduler = make_scheduler(capacity=3, held=[adapter(1), adapter(2)])
         scheduler.add_request(make_request(1, adapter(3), since=5.0))
         (order,) = select(scheduler.step({}, 5.0))
-        scheduler.note_reply(order, None, 5.0)
+        scheduler.record_reply(order, None, 5.0)
         scheduler.add_request(make_request(2, adapter(4), since=5.0))
         orders = select(scheduler.step({}, 5.1))
         loads = [item for item in orders if item.kind is OrderKind.LOAD]
@@ -122,15 +122,15 @@
         scheduler.add_request(make_request(9, adapter(9), since=5.0))
         unloads = select(scheduler.step({}, 5.0))
         for unload in unloads:
-            scheduler.note_reply(unload, OrderReply.HOLDS_ALREADY, 5.3)
+            scheduler.record_reply(unload, OrderReply.HOLDS_ALREADY, 5.3)
         unloaded = unloads[0].weights
         scheduler.add_request(make_request(1, unloaded, since=5.3))
         del scheduler.requests_by_number[9]
         (load,) = select(scheduler.step({}, 5.3))
-        scheduler.note_reply(load, OrderReply.ACCEPTED, 5.3)
+        scheduler.record_reply(load, OrderReply.ACCEPTED, 5.3)
         occupied = scheduler.count_occupied()
         stale = make_report([adapter(1), adapter(2), adapter(3)])
-        scheduler.note_report(stale, requested_at=5.35, now=5.36)
+        scheduler.record_report(stale, requested_at=5.35, now=5.36)
         assert scheduler.count_occupied() == occupied
 
     def test_adapter_in_use_is_not_unloaded(self):
@@ -139,15 +139,17 @@
         The endpoint would refuse other orders until the prompt's stream ends.
         """
         scheduler = make_scheduler(capacity=2, held=[adapter(1), adapter(2)])
-        scheduler.usage.note_prompt_waiting(adapter(1))
-        scheduler.usage.note_prompt_waiting(adapter(2))
-        scheduler.usage.note_prompt_decided(adapter(2), "i1", granted=True, now=5.0)
+        scheduler.usage.record_prompt_waiting(adapter(1))
+        scheduler.usage.record_prompt_waiting(adapter(2))
+        scheduler.usage.record_prompt_decided(adapter(2), "i1", granted=True, now=5.0)
         scheduler.add_request(make_request(9, adapter(9), since=5.0))
         assert select(scheduler.step({}, 5.1)) == []
         assert scheduler.list_servable().keys() == {MODEL, adapter(1), adapter(2)}
-        scheduler.usage.note_prompt_decided(adapter(1), "i1", granted=True, now=5.2)
+        scheduler.usage.record_prompt_decided(adapter(1), "i1", granted=True, now=5.2)
         for number in (1, 2):
-            scheduler.usage.note_use("i1", adapter(number), running=1, begun=1, now=5.3)
+            scheduler.usage.record_use(
+                "i1", adapter(number), running=1, begun=1, now=5.3
+            )
         assert select(scheduler.step({}, 5.3 + GRANT_TTL_S)) == []
 
     def test_idle_adapter_is_evicted_at_once(self):
@@ -156,7 +158,7 @@
         scheduler.add_request(make_request(9, adapter(9), since=5.0))
         (unload,) = select(scheduler.step({}, 5.0))
         assert (unload.kind, unload.weights) == (OrderKind.UNLOAD, adapter(1))
-        scheduler.note_reply(unload, OrderReply.HOLDS_ALREADY, 5.0)
+        scheduler.record_reply(unload, OrderReply.HOLDS_ALREADY, 5.0)
         (load,) = select(scheduler.step({}, 5.0))
         assert (load.kind, load.weights) == (OrderKind.LOAD, adapter(9))
 
@@ -169,15 +171,17 @@
     def test_adapter_with_least_demand_is_evicted(self):
         scheduler = make_scheduler(capacity=3, held=[adapter(n) for n in (1, 2, 3)])
         for number in (1, 3):
-            scheduler.usage.note_use("i1", adapter(number), running=0, begun=5, now=4.0)
+            scheduler.usage.record_use(
+                "i1", adapter(number), running=0, begun=5, now=4.0
+            )
         scheduler.add_request(make_request(9, adapter(9), since=5.0))
         unloads = select(scheduler.step({}, 5.0))
         assert unloads[0].weights == adapter(2)
 
     def test_replica_does_not_evict_an_adapter_with_equal_demand(self):
         scheduler = make_scheduler(capacity=1, held=[adapter(1)])
-        scheduler.usage.note_use("i1", adapter(1), running=0, begun=5, now=4.0)
-        scheduler.usage.note_use("i1", adapter(2), running=0, begun=5, now=4.0)
+        scheduler.usage.record_use("i1", adapter(1), running=0, begun=5, now=4.0)
+        scheduler.usage.record_use("i1", adapter(2), running=0, begun=5, now=4.0)
         scheduler.add_request(make_request(1, adapter(2), is_replica=True))
         assert scheduler._choose_victim(adapter(2), True, 5.0) is None
         assert scheduler._choose_victim(adapter(2), False, 5.0) == adapter(1)
@@ -192,7 +196,7 @@
 
     def test_adapters_in_use_cannot_be_replaced(self):
         scheduler = make_scheduler(capacity=1, held=[adapter(1)])
-        scheduler.usage.note_prompt_waiting(adapter(1))
+        scheduler.usage.record_prompt_waiting(adapter(1))
         assert not scheduler.can_load_now(adapter(2), 5.0)
         assert scheduler.can_load_now(adapter(1), 5.0)
 
@@ -207,8 +211,8 @@
     def refuse(self, scheduler, now):
         """Refuse an order; the report after it shows nothing new."""
         (order, *_) = select(scheduler.step({}, now))
-        scheduler.note_reply(order, OrderReply.BUSY, now)
-        scheduler.note_report(make_report(held=[adapter(1)]), now, now)
+        scheduler.record_reply(order, OrderReply.BUSY, now)
+        scheduler.record_report(make_report(held=[adapter(1)]), now, now)
 
     def test_order_is_not_repeated_at_once(self):
         """Guards against a tight loop of refused orders."""
@@ -222,8 +226,8 @@
     def try_once(self, scheduler, now):
         orders = select(scheduler.step({}, now))
         for order in orders:
-            scheduler.note_reply(order, OrderReply.BUSY, now)
-        scheduler.note_report(make_report(held=[adapter(1)]), now, now)
+            scheduler.record_reply(order, OrderReply.BUSY, now)
+        scheduler.record_report(make_report(held=[adapter(1)]), now, now)
         return orders
 
     def test_blocked_endpoint_accepts_no_requests(self):
@@ -312,7 +316,7 @@
                 scheduler.add_request(make_request(number, weights, since=now))
             if tick % 5 == 0:
                 lag_s = data.draw(st.sampled_from((0.0, 0.1, 0.3)))
-                scheduler.note_report(engine.report(now, lag_s), now, now)
+                scheduler.record_report(engine.report(now, lag_s), now, now)
             for effect in select(scheduler.step({}, now)):
                 known = scheduler.order_count.value
                 load_s = data.draw(st.floats(0.02, 1.0))
@@ -321,5 +325,5 @@
                     continue
                 reply = engine.order(effect, known, now, load_s)
                 lost = data.draw(st.integers(0, 9)) == 0
-                scheduler.note_reply(effect, None if lost else reply, now)
+                scheduler.record_reply(effect, None if lost else reply, now)
             assert not engine.overrun
--- a/tests/fuzz/engines.py
+++ b/tests/fuzz/engines.py
@@ -95,7 +95,7 @@
             return Outcome.refused("not_loaded", loaded=False)
         if len(self.running) >= 2 * self.pool.max_running:
             return Outcome.refused("full")
-        self.world.oracle.note_run(self, call, written_at)
+        self.world.oracle.record_run(self, call, written_at)
         now, tokens = self.world.now, max(1, call.max_tokens)
         run = EngineRun(call.request_id, call.adapter, tokens, now, now - written_at)
         self.runs.append(run)
@@ -140,7 +140,7 @@
             return OrderOutcome(False, stale_fence=self.fence)
         affected = [run for run in self.running if run.adapter == adapter]
         if affected:
-            self.world.oracle.note_eviction_in_use(self, affected, written_at, owner)
+            self.world.oracle.record_eviction_in_use(self, affected, written_at, owner)
         for run in affected:
             self._abort(run, "evicted")
         self.loaded.discard(adapter)
@@ -185,8 +185,8 @@
         moved = self.incarnation != self.engine.incarnation
         return self.node.dead or moved or self.world.is_cut(self.node, self.engine)
 
-    def _note_order(self):
-        self.world.oracle.note_order(self.engine, self.node)
+    def _record_order(self):
+        self.world.oracle.record_order(self.engine, self.node)
         return self.world.now
 
     async def _exchange(self, callback, timeout_s):
@@ -216,7 +216,7 @@
             return Outcome.refused("cannot connect")
         if call.guard is not None and not call.guard():
             return Outcome.refused(LEASE_LOST)
-        written_at = self._note_order()
+        written_at = self._record_order()
         result = await self._exchange(
             lambda reply: reply((self.engine.submit(call, written_at),)), SILENCE_S
         )
@@ -297,7 +297,7 @@
             return OrderOutcome(False, detail="cannot connect")
         if not guard():
             return OrderOutcome(False, detail=LEASE_LOST)
-        written_at = self._note_order()
+        written_at = self._record_order()
         outcome = await self._exchange(
             lambda reply: callback(reply, written_at), timeout_s
         )
--- a/tests/fuzz/oracle.py
+++ b/tests/fuzz/oracle.py
@@ -71,13 +71,13 @@
         if not holds:
             self.violations.append(f"{guarantee}: {details} at {self.world.now:.3f}")
 
-    def note_fault(self, name):
+    def record_fault(self, name):
         """Record a fault, which permits cut responses for a while."""
         self.faults.append((self.world.now, name))
 
     # Seen by endpoints.
 
-    def note_run(self, engine, call, written_at):
+    def record_run(self, engine, call, written_at):
         record = self.records_by_id[call.request_id]
         record.runs.append(engine.id)
         self.counts["run"] += 1
@@ -95,7 +95,7 @@
             bound = LEAVING_BOUND_S + engine.report_lag_s
             self.check(late <= bound, "new work for a leaving endpoint", record, late)
 
-    def note_order(self, engine, node):
+    def record_order(self, engine, node):
         """Check that an owner which sends an order holds the lease."""
         now = self.world.now
         paused_s = node.woke_at - node.paused_at
@@ -116,7 +116,7 @@
                 other.id,
             )
 
-    def note_eviction_in_use(self, engine, runs, written_at, owner):
+    def record_eviction_in_use(self, engine, runs, written_at, owner):
         ids = [run.request_id for run in runs]
         delivery_s = self.world.now - written_at
         if engine.pool.fenced:
@@ -137,13 +137,13 @@
 
     # Received by callers.
 
-    def note_data(self, record, data):
+    def record_data(self, record, data):
         self.check(not record.outcome, "data after the end of the response", record)
         record.data += data
         right = record.expected.startswith(record.data)
         self.check(right, "the data is not a prefix of the expected response", record)
 
-    def note_finish(self, record):
+    def record_finish(self, record):
         self.check(not record.outcome, "the response ended twice", record)
         record.outcome = "answered"
         self.counts["answered"] += 1
@@ -151,7 +151,7 @@
             record.data == record.expected, "the response is not complete", record
         )
 
-    def note_failure(self, record, failure):
+    def record_failure(self, record, failure):
         self.check(not record.outcome, "the response ended twice", record)
         record.outcome, record.reported_ran = failure.kind.value, failure.outcome
         self.counts[f"{failure.kind.value}.{failure.outcome.value}"] += 1
--- a/tests/fuzz/test_requests.py
+++ b/tests/fuzz/test_requests.py
@@ -213,7 +213,7 @@
     def restart_engine(self, pick, seed):
         """Restart an endpoint while it runs requests and loads adapters."""
         self.serve(0.3, 20, seed)
-        self.world.oracle.note_fault("restart")
+        self.world.oracle.record_fault("restart")
         self.engine(pick).restart()
 
     @rule(pick=picks, count=st.integers(1, 3))
--- a/tests/fuzz/world.py
+++ b/tests/fuzz/world.py
@@ -96,17 +96,17 @@
 
     async def deliver(self, data, head):
         if not self.record.caller_left:
-            self.oracle.note_data(self.record, data)
+            self.oracle.record_data(self.record, data)
         return not self.record.caller_left
 
     async def finish(self, head):
         if not self.record.caller_left:
-            self.oracle.note_finish(self.record)
+            self.oracle.record_finish(self.record)
         return True
 
     async def fail(self, failure):
         if not self.record.caller_left:
-            self.oracle.note_failure(self.record, failure)
+            self.oracle.record_failure(self.record, failure)
         return True
 
 
@@ -262,12 +262,12 @@
 
     def cut(self, data_centre):
         self.cut_centres.add(data_centre)
-        self.oracle.note_fault("cut")
+        self.oracle.record_fault("cut")
 
     def heal(self, deliver):
         """End all cuts, and deliver or drop the messages held back."""
         if self.cut_centres:
-            self.oracle.note_fault("heal")
+            self.oracle.record_fault("heal")
         self.cut_centres.clear()
         for connection, receiver, callback in self.held_messages:
             if deliver and not connection.lost:
@@ -276,7 +276,7 @@
 
     def drop_connections(self, one, two):
         """Drop the connections between two processes."""
-        self.oracle.note_fault("drop")
+        self.oracle.record_fault("drop")
         for node, peer in ((one, two), (two, one)):
             connection = node.link.connections_by_id.get(peer.id)
             if connection is not None:
@@ -287,7 +287,7 @@
 
     def stall_orders(self, node, engine, seconds):
         """Delay a process's orders to an endpoint."""
-        self.oracle.note_fault("stall")
+        self.oracle.record_fault("stall")
         self.stalled_until[node.id, engine.id] = self.now + seconds
 
     def order_delay(self, node, engine):
@@ -317,14 +317,14 @@
         return paused or slow or bool(self.cut_centres)
 
     def pause(self, node):
-        self.oracle.note_fault("pause")
+        self.oracle.record_fault("pause")
         if not node.paused:
             node.paused_at = self.now
         node.paused = True
 
     def wake(self, node):
         if node.paused:
-            self.oracle.note_fault("wake")
+            self.oracle.record_fault("wake")
             node.woke_at = self.now
         node.paused = False
         for callback in node.inbox:
@@ -334,11 +334,11 @@
     def kill(self, node, is_fault=False):
         node.killed |= is_fault
         if is_fault:
-            self.oracle.note_fault("kill")
+            self.oracle.record_fault("kill")
         if node.dead:
             return
         node.dead = True
-        self.note_errors(node)
+        self.record_errors(node)
         node.loop.kill()
         self.update_list()
         for peer in self.live_nodes:
@@ -346,7 +346,7 @@
             if connection is not None and not self.is_cut(peer, node):
                 self._put(peer, lambda p=peer, c=connection: p.link.handle_loss(c))
 
-    def note_errors(self, node):
+    def record_errors(self, node):
         """Pass a process's counters to the oracle, which rejects errors."""
         for name, count in node.instance.metrics.counters_by_name.items():
             self.oracle.counts[f"metric.{name}"] += count
@@ -470,7 +470,7 @@
     def close(self):
         for node in self.live_nodes:
             node.dead = True
-            self.note_errors(node)
+            self.record_errors(node)
             node.loop.kill()
         for item in self.patches:
             item.stop()
--- a/tests/helpers/test_board.py
+++ b/tests/helpers/test_board.py
@@ -19,7 +19,7 @@
         """Without it the same load is requested until the update arrives."""
         view = PlacementView()
         view.apply_update("i1", PlacementState("e1", 1), now=0.0)
-        view.note_held("e1", CARDS, 2, now=0.1)
+        view.record_held("e1", CARDS, 2, now=0.1)
         assert view.states_by_endpoint["e1"].held == {CARDS: 2}
 
     def test_endpoint_that_rejected_for_missing_weights_is_not_retried(self):
@@ -27,7 +27,7 @@
         view = PlacementView()
         held = (HeldWeights("m", "cards", 2),)
         view.apply_update("i1", PlacementState("e1", 1, held=held), now=0.0)
-        view.note_missing("e1", CARDS, now=0.1)
+        view.record_missing("e1", CARDS, now=0.1)
         assert view.states_by_endpoint["e1"].held == {}
 
     def test_empty_delta_keeps_the_loaded_weights(self):
@@ -67,13 +67,13 @@
     def test_reply_overrides_the_published_record_until_it_expires(self):
         """Without it a load that has just ended is requested again."""
         view = PlacementView()
-        view.note_held("e1", CARDS, 2, now=0.0)
+        view.record_held("e1", CARDS, 2, now=0.0)
         assert view.find_version(make_record(), CARDS, now=2.0) == 2
         assert view.find_version(make_record(), CARDS, now=OVERRIDE_TTL_S) is None
 
     def test_missing_adapter_overrides_the_published_record(self):
         view = PlacementView()
-        view.note_missing("e1", CARDS, now=0.0)
+        view.record_missing("e1", CARDS, now=0.0)
         record = make_record([CARDS])
         assert view.find_version(record, CARDS, now=2.0) is None
         assert view.find_version(record, CARDS, now=OVERRIDE_TTL_S) == 1
@@ -89,7 +89,7 @@
     def test_overrides_are_bounded(self):
         view = PlacementView()
         for number in range(10 * MAX_OVERRIDES):
-            view.note_missing("e1", Weights("m", f"a{number}"), now=0.0)
+            view.record_missing("e1", Weights("m", f"a{number}"), now=0.0)
         assert len(view._overrides_by_endpoint["e1"]) == MAX_OVERRIDES
 
 
@@ -112,14 +112,14 @@
     def test_redirect_to_another_holder_is_followed(self):
         """A restarted candidate is not the holder if another took over."""
         view = self.make_view()
-        assert view.note_redirect("e1", "candidate", "i2")
+        assert view.record_redirect("e1", "candidate", "i2")
         assert view.find_holder("e1", now=0.0) == "i2"
-        assert not view.note_redirect("e1", "i2", "")
+        assert not view.record_redirect("e1", "i2", "")
         assert view.find_holder("e1", now=0.0) == "candidate"
 
     def test_unresponsive_holder_is_not_asked_during_backoff(self):
         """Not every request may run into the timeout of a dead holder."""
         view = self.make_view()
-        view.note_unresponsive("candidate", now=0.0)
+        view.record_unresponsive("candidate", now=0.0)
         assert view.find_holder("e1", now=0.5) is None
         assert view.find_holder("e1", now=HOLDER_BACKOFF_S) == "candidate"
