--- a/bench/soak/accounts.py
+++ b/bench/soak/accounts.py
@@ -101,9 +101,9 @@
     revoked_at = accounts.revoked_at_by_key.get(key)
     if (
         revoked_at is not None
-        and record.at > revoked_at + REVOCATION_BOUND_S + FORWARDING_SLACK_S
+        and record.started_at > revoked_at + REVOCATION_BOUND_S + FORWARDING_SLACK_S
     ):
-        late_s = record.at - revoked_at
+        late_s = record.started_at - revoked_at
         yield Violation(
             "key taken away", f"{record} ran {late_s:.2f} s after revocation"
         )
@@ -122,7 +122,7 @@
 
 
 def _check_limit(records: Iterable[RunRecord]) -> Iterable[Violation]:
-    times = sorted(record.at for record in records if record.account == LIMITED)
+    times = sorted(record.started_at for record in records if record.account == LIMITED)
     allowed = (RATE_PER_S * WINDOW_S + BURST) * (1 + OVERAGE)
     first = 0
     for last, at in enumerate(times):
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -124,7 +124,7 @@
         if worker.overrun:
             yield Violation("places", f"{worker.id} exceeded its slots")
         holders_by_fence: dict[int, set[str]] = defaultdict(set)
-        for fence, holder in zip(worker.fences, worker.holders, strict=True):
+        for fence, holder in zip(worker.fencing_tokens, worker.holders, strict=True):
             holders_by_fence[fence].add(holder)
         for fence, holders in holders_by_fence.items():
             if len(holders) > 1:
@@ -154,13 +154,13 @@
     for drain in history.drains:
         bound = drain.started_at + DRAIN_BOUND_S
         for record in workers_by_id[drain.endpoint].records:
-            if record.at <= bound or history.overlaps_fault(
-                drain.started_at, record.at
+            if record.started_at <= bound or history.overlaps_fault(
+                drain.started_at, record.started_at
             ):
                 continue
-            if _overlaps_daemon_stop(history, drain.started_at, record.at):
+            if _overlaps_daemon_stop(history, drain.started_at, record.started_at):
                 continue
-            late_s = record.at - drain.started_at
+            late_s = record.started_at - drain.started_at
             yield Violation("leaving", f"{drain} ran {record} after {late_s:.2f} s")
 
 
--- a/bench/soak/command.py
+++ b/bench/soak/command.py
@@ -111,7 +111,9 @@
     for worker in world.platform.workers_by_id.values():
         for record in worker.records:
             last = last_by_adapter.get(record.adapter, (0.0, 0))
-            last_by_adapter[record.adapter] = max(last, (record.at, record.version))
+            last_by_adapter[record.adapter] = max(
+                last, (record.started_at, record.version)
+            )
     return [
         Violation(
             "version", f"{adapter}: last run had version {last_by_adapter[adapter][1]}"
--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -144,7 +144,7 @@
         worker = Worker(service, MODEL if service == ENGINES else "")
         worker.event_s = EVENT_S
         worker.report_lag_s = REPORT_LAG_S
-        worker.newest_by_adapter = dict(self.adapter_versions)
+        worker.latest_version_by_adapter = dict(self.adapter_versions)
         proxy = Proxy(self.platform.start_worker(worker, zone))
         self._proxies_by_worker[worker.id] = proxy
         self.platform.publish_at(worker, await proxy.start())
--- a/fescuekeel/components/engine/driver.py
+++ b/fescuekeel/components/engine/driver.py
@@ -49,11 +49,11 @@
     Report,
 )
 from fescuekeel.helpers.endpoint_http import (
-    BrokenError,
     ConnectError,
+    ConnectionLostError,
     EndpointClient,
     Exchange,
-    SilenceWatch,
+    IdleTimer,
 )
 from fescuekeel.messages import AdapterRef
 
@@ -94,7 +94,7 @@
         """Cancel a request and close its connection."""
         self.cancelled.add(request_id)
         body: dict[str, object] = {"request_id": request_id}
-        with contextlib.suppress(ConnectError, BrokenError):
+        with contextlib.suppress(ConnectError, ConnectionLostError):
             await self._post(PATH_CANCEL, body, CANCEL_TIMEOUT_S)
         exchange = self.exchanges_by_request.get(request_id)
         if exchange is None:
@@ -169,9 +169,9 @@
     async def _fetch_whole(self, call: Call, on_chunk: OnChunk) -> Outcome | None:
         path, body = compose_completion(call)
         exchange = Exchange(call.guard)
-        watch = SilenceWatch(exchange, self.silence_s * UNSTREAMED_SILENCE_FACTOR)
+        idle_timer = IdleTimer(exchange, self.silence_s * UNSTREAMED_SILENCE_FACTOR)
         self.exchanges_by_request[call.request_id] = exchange
-        watch.start()
+        idle_timer.start()
         try:
             response = await self.client.fetch(
                 "POST",
@@ -183,10 +183,10 @@
             )
         except ConnectError as error:
             return Outcome.refused(str(error))
-        except BrokenError:
+        except ConnectionLostError:
             return None
         finally:
-            watch.stop()
+            idle_timer.stop()
             self.exchanges_by_request.pop(call.request_id, None)
         if response.code != 200:
             return parse_refusal(response.code, response.body)
@@ -218,20 +218,20 @@
                 return CANCELLED
             if stream.position > position:
                 failures, silence_s = 0, self.silence_s
-            elif connection.watch.silent:
+            elif connection.idle_timer.expired:
                 silence_s = min(2 * silence_s, MAX_SILENCE_S)
             else:
                 failures += 1
             if failures > RESUME_ATTEMPTS or time.monotonic() >= deadline:
                 return make_cut_outcome(stream, connection.detail)
-            self._count_resume(connection.watch.silent)
+            self._count_resume(connection.idle_timer.expired)
             await asyncio.sleep(RESUME_PAUSE_S * 2**failures)
             stream.reset()
             resume = True
 
-    def _count_resume(self, silent: bool) -> None:
+    def _count_resume(self, expired: bool) -> None:
         self.instance.metrics.count(f"retry.{RetryReason.STREAM_RESUMED}")
-        if silent:
+        if expired:
             self.instance.metrics.count("engine.silent_stream")
 
     async def _send_adapter_order(
@@ -250,8 +250,8 @@
             response = await self._post(path, body, timeout_s, guard)
         except ConnectError as error:
             return OrderOutcome(False, detail=str(error))
-        except BrokenError as error:
-            return OrderOutcome(False, detail=str(error), unsure=True)
+        except ConnectionLostError as error:
+            return OrderOutcome(False, detail=str(error), unconfirmed=True)
         took_s = time.monotonic() - started
         if response.code != 200:
             refusal = parse_body(ErrorBody, response.body) or ErrorBody()
@@ -281,5 +281,5 @@
     async def _get(self, path: str, timeout_s: float) -> HTTPResponse | None:
         try:
             return await self.client.fetch("GET", path, timeout_s=timeout_s)
-        except (ConnectError, BrokenError):
+        except (ConnectError, ConnectionLostError):
             return None
--- a/fescuekeel/components/engine/stream_connection.py
+++ b/fescuekeel/components/engine/stream_connection.py
@@ -17,11 +17,11 @@
 from fescuekeel.errors import ErrorKind, Failure
 from fescuekeel.helpers.driver import Call, OnChunk, Outcome
 from fescuekeel.helpers.endpoint_http import (
-    BrokenError,
     ConnectError,
+    ConnectionLostError,
     EndpointClient,
     Exchange,
-    SilenceWatch,
+    IdleTimer,
 )
 
 __all__ = ["DriverContext", "StreamConnection", "make_cut_outcome", "parse_refusal"]
@@ -61,7 +61,7 @@
         self.status = 0
         self.refusal = b""
         self.detail = ""
-        self.watch = SilenceWatch(self.exchange, silence_s)
+        self.idle_timer = IdleTimer(self.exchange, silence_s)
 
     async def run(self, resume: bool) -> Outcome | None:
         """Return the outcome, or ``None`` if the stream has to be resumed."""
@@ -69,17 +69,17 @@
         # A resume only reads, so the guard applies to the hand-over alone.
         self.exchange.guard = None if resume else self.call.guard
         self.driver.exchanges_by_request[request_id] = self.exchange
-        self.watch.start()
+        self.idle_timer.start()
         try:
             response = await self._fetch(resume)
         except ConnectError as error:
             self.detail = str(error)
             return None if resume else Outcome.refused(str(error))
-        except BrokenError as error:
+        except ConnectionLostError as error:
             self.detail = str(error)
             return self._finish()
         finally:
-            self.watch.stop()
+            self.idle_timer.stop()
             self.driver.exchanges_by_request.pop(request_id, None)
         if response.code != 200:
             return self._parse_refusal(response.code, resume)
@@ -118,12 +118,12 @@
         return make_cut_outcome(self.stream, f"resume rejected with status {status}")
 
     def _receive_header(self, line: str) -> None:
-        self.watch.hear()
+        self.idle_timer.reset()
         if line.startswith("HTTP/"):
             self.status = int(line.split(" ", 2)[1])
 
     def _receive(self, data: bytes) -> None:
-        self.watch.hear()
+        self.idle_timer.reset()
         if self.status != 200:
             self.refusal += data
             return
--- a/fescuekeel/components/gateway/component.py
+++ b/fescuekeel/components/gateway/component.py
@@ -23,7 +23,7 @@
 from fescuekeel.helpers.logging import log_event
 from fescuekeel.helpers.peer_link import get_peer_link
 from fescuekeel.messages import (
-    EntryOpenWork,
+    EntryRunningWork,
     MemberView,
     PeerConnectionLost,
     PeerMessage,
@@ -64,7 +64,7 @@
             PeerConnectionLost, lambda lost: self._handle_owner_loss(lost.instance_id)
         )
         bus.subscribe(MemberView, self._update_members)
-        bus.publish_state(EntryOpenWork(self._list_open_work))
+        bus.publish_state(EntryRunningWork(self._list_open_work))
         self.server.start()
         log_event("callers_listening", address=self.server.address)
 
@@ -188,7 +188,7 @@
             outcome=failure.kind.value if failure else "answered",
         )
 
-    def lose_caller(self, request_id: str) -> None:
+    def handle_caller_disconnect(self, request_id: str) -> None:
         """Cancel a request whose caller closed the connection."""
         request = self.requests_by_id.get(request_id)
         if request is not None:
--- a/fescuekeel/components/gateway/server.py
+++ b/fescuekeel/components/gateway/server.py
@@ -69,7 +69,7 @@
 
     def on_connection_close(self) -> None:
         """Cancel the request of a caller that disconnected."""
-        self.gateway.lose_caller(self.request_id)
+        self.gateway.handle_caller_disconnect(self.request_id)
 
     def read_input(self, path: str) -> CallerInput:
         """Return the parts of the request that admission needs."""
--- a/fescuekeel/components/keys/component.py
+++ b/fescuekeel/components/keys/component.py
@@ -16,7 +16,7 @@
     PULL_TIMEOUT_S,
 )
 from fescuekeel.components.keys.decision import KeyHome
-from fescuekeel.components.keys.tally import Tally
+from fescuekeel.components.keys.tally import QuorumCounter
 from fescuekeel.core import Actor, Instance
 from fescuekeel.errors import ErrorKind, Failure, Ran
 from fescuekeel.helpers.logging import log_event
@@ -99,9 +99,9 @@
             )
         claim = KeyClaim(key, request_id, digest, int(lifetime_s * 1000), homes)
         self._homes_by_request_id[request_id] = homes
-        tally = Tally(len(homes))
+        counter = QuorumCounter(len(homes))
         try:
-            await self._ask_homes(claim, tally)
+            await self._ask_homes(claim, counter)
         except asyncio.CancelledError:
             self.settle(key, request_id, Ran.NO)
             raise
@@ -112,10 +112,10 @@
             return Err(
                 Failure(ErrorKind.KEY_HOME_UNREACHABLE, "claim too old to act on")
             )
-        if tally.won:
+        if counter.won:
             return Success(None)
         self.settle(key, request_id, Ran.NO)
-        return Err(tally.get_failure())
+        return Err(counter.get_failure())
 
     def settle(self, key: str, request_id: str, ran: Ran) -> None:
         """Release the key if the request did not run, else mark it used."""
@@ -127,7 +127,7 @@
         for home in targets:
             link.send(home, KeySettle(key, request_id, ran.value))
 
-    async def _ask_homes(self, claim: KeyClaim, tally: Tally) -> None:
+    async def _ask_homes(self, claim: KeyClaim, counter: QuorumCounter) -> None:
         # The tasks keep running once the claim is decided, so that every home
         # gets the claim before what follows on the same connection.
         tasks = [
@@ -135,7 +135,7 @@
             for home in claim.homes
         ]
         for task in asyncio.as_completed(tasks):
-            if tally.add(await task):
+            if counter.add(await task):
                 return
 
     async def _ask_home(self, home: str, claim: KeyClaim) -> KeyAnswer | None:
--- a/fescuekeel/components/keys/tally.py
+++ b/fescuekeel/components/keys/tally.py
@@ -5,7 +5,7 @@
 from fescuekeel.errors import ErrorKind, Failure
 from fescuekeel.messages import KeyAnswer
 
-__all__ = ["Tally"]
+__all__ = ["QuorumCounter"]
 
 # Which of several refusals is returned: the first in this order.
 REFUSAL_PRECEDENCE = (
@@ -15,13 +15,13 @@
 )
 
 
-class Tally:
+class QuorumCounter:
     """Count answers until the claim is won or can no longer be won.
 
-    >>> tally = Tally(3)
-    >>> tally.add(KeyAnswer(True)), tally.won
+    >>> counter = QuorumCounter(3)
+    >>> counter.add(KeyAnswer(True)), counter.won
     (False, False)
-    >>> tally.add(KeyAnswer(True)), tally.won
+    >>> counter.add(KeyAnswer(True)), counter.won
     (True, True)
     """
 
--- a/fescuekeel/components/owner/component.py
+++ b/fescuekeel/components/owner/component.py
@@ -23,7 +23,7 @@
 from fescuekeel.messages import (
     CancelWork,
     CopyAsk,
-    EntryOpenWork,
+    EntryRunningWork,
     HandoverAnswer,
     HandoverOffer,
     MemberView,
@@ -211,7 +211,7 @@
         endpoint = cast(RunningAsk, message.body).endpoint
         owner = self.owners_by_endpoint.get(endpoint)
         work = {}
-        entry_work = self.instance.bus.latest(EntryOpenWork)
+        entry_work = self.instance.bus.latest(EntryRunningWork)
         if entry_work is not None:
             for item in entry_work.list_work(endpoint):
                 work[item.request_id] = item
--- a/fescuekeel/components/owner/endpoint.py
+++ b/fescuekeel/components/owner/endpoint.py
@@ -264,11 +264,11 @@
 
     def _end_evict(self, adapter: AdapterRef, outcome: OrderOutcome) -> None:
         self._handle_order_outcome(outcome)
-        if outcome.unsure:
+        if outcome.unconfirmed:
             # The order may still be executed, when the adapter serves again.
             # The adapter counts as evicted, and a new token fences the order.
             self._handle_ownership(own.OrderUnconfirmed())
-        self.schedule(sched.EvictEnded(adapter, outcome.ok or outcome.unsure))
+        self.schedule(sched.EvictEnded(adapter, outcome.ok or outcome.unconfirmed))
 
     # Ownership.
 
--- a/fescuekeel/components/placement/pacing.py
+++ b/fescuekeel/components/placement/pacing.py
@@ -154,7 +154,7 @@
             if now >= prompt.until
         ]
         if free_slots <= 0:
-            decisions += self._refuse(self._list_impatient())
+            decisions += self._refuse(self._list_overdue())
         while self._waiting:
             first = min(self._waiting, key=lambda prompt: self._rank(prompt, now))
             if self._granted and self._granted_tokens + first.tokens > self.limit:
@@ -168,7 +168,7 @@
             decisions.append(self._decide(last, granted=False))
         return decisions
 
-    def _list_impatient(self) -> list[Prompt]:
+    def _list_overdue(self) -> list[Prompt]:
         return [prompt for prompt in self._waiting if not prompt.patient]
 
     def _list_better_elsewhere(self, elsewhere_s: float, now: float) -> list[Prompt]:
@@ -179,7 +179,7 @@
         engine's load, so that all prompts queue here while other engines are
         idle.
         """
-        if not self._list_impatient():
+        if not self._list_overdue():
             return []
         better = []
         ahead = 0
--- a/fescuekeel/components/plain/driver.py
+++ b/fescuekeel/components/plain/driver.py
@@ -21,8 +21,8 @@
     RunningCall,
 )
 from fescuekeel.helpers.endpoint_http import (
-    BrokenError,
     ConnectError,
+    ConnectionLostError,
     EndpointClient,
     Exchange,
 )
@@ -65,7 +65,7 @@
             response = await self._send(call)
         except ConnectError as error:
             return Outcome.refused(str(error))
-        except BrokenError as error:
+        except ConnectionLostError as error:
             return Outcome.unknown(str(error))
         if response.code == 503 and response.headers.get(HEADER_NOT_RUN) == "1":
             return Outcome.refused("refused by the service")
@@ -103,7 +103,7 @@
         try:
             response = await self.client.fetch("GET", PATH_REPORT, timeout_s=timeout_s)
             body = ReportBody.model_validate_json(response.body)
-        except (ConnectError, BrokenError, ValidationError):
+        except (ConnectError, ConnectionLostError, ValidationError):
             return None
         return Report(
             boot_id=body.boot_id,
--- a/fescuekeel/helpers/driver.py
+++ b/fescuekeel/helpers/driver.py
@@ -102,16 +102,16 @@
 class OrderOutcome:
     """Result of a load or an eviction.
 
-    ``fence`` is the fencing token that the order carried. ``unsure`` says that
-    it was sent but no reply came: the endpoint may have executed it, or may
-    still do so.
+    ``fence`` is the fencing token that the order carried. ``unconfirmed`` says
+    that it was sent but no reply came: the endpoint may have executed it, or
+    may still do so.
     """
 
     ok: bool
     took_s: float = 0.0
     detail: str = ""
     stale_fence: int = 0
-    unsure: bool = False
+    unconfirmed: bool = False
     fence: int = 0
 
 
--- a/fescuekeel/helpers/endpoint_http.py
+++ b/fescuekeel/helpers/endpoint_http.py
@@ -17,12 +17,12 @@
 
 __all__ = [
     "LEASE_LOST",
-    "BrokenError",
     "ConnectError",
+    "ConnectionLostError",
     "EndpointClient",
     "Exchange",
     "Guard",
-    "SilenceWatch",
+    "IdleTimer",
 ]
 
 # Effectively unlimited: a request queued inside the HTTP client would not be
@@ -39,7 +39,7 @@
     """No connection was established, so nothing was sent."""
 
 
-class BrokenError(Exception):
+class ConnectionLostError(Exception):
     """An established connection broke or timed out."""
 
 
@@ -62,18 +62,18 @@
             self.stream.close()
 
 
-class SilenceWatch:
+class IdleTimer:
     """Idle timeout: close a connection that receives no data.
 
     Without it a half-open connection would stay open without an error. Once it
-    is closed, the rest can be requested on a new one. ``silent`` says whether
+    is closed, the rest can be requested on a new one. ``expired`` says whether
     the timeout has expired.
     """
 
-    def __init__(self, exchange: Exchange, silence_s: float) -> None:
+    def __init__(self, exchange: Exchange, timeout_s: float) -> None:
         self.exchange = exchange
-        self.silence_s = silence_s
-        self.silent = False
+        self.timeout_s = timeout_s
+        self.expired = False
         self._last_data_at = time.monotonic()
         self._timer: asyncio.TimerHandle | None = None
 
@@ -82,7 +82,7 @@
         self._last_data_at = time.monotonic()
         self._check()
 
-    def hear(self) -> None:
+    def reset(self) -> None:
         """Restart the timeout after data was received."""
         self._last_data_at = time.monotonic()
 
@@ -92,12 +92,12 @@
             self._timer.cancel()
 
     def _check(self) -> None:
-        left_s = self._last_data_at + self.silence_s - time.monotonic()
+        left_s = self._last_data_at + self.timeout_s - time.monotonic()
         if left_s > 0:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(left_s, self._check)
             return
-        self.silent = True
+        self.expired = True
         self.exchange.close()
 
 
@@ -198,8 +198,8 @@
     ) -> HTTPResponse:
         """Send one request once and return the response, whatever its status.
 
-        Raises ``ConnectError`` if nothing was sent, and ``BrokenError`` if the
-        connection failed later.
+        Raises ``ConnectError`` if nothing was sent, and
+        ``ConnectionLostError`` if the connection failed later.
         """
         exchange = exchange or Exchange()
         if self.closed or exchange.closed:
@@ -231,7 +231,7 @@
         except ConnectError:
             raise
         except Exception as error:
-            raise BrokenError(str(error) or repr(error)) from error
+            raise ConnectionLostError(str(error) or repr(error)) from error
         finally:
             self.exchanges.discard(exchange)
 
--- a/fescuekeel/messages/__init__.py
+++ b/fescuekeel/messages/__init__.py
@@ -40,7 +40,7 @@
 from fescuekeel.messages.local import (
     DrainRequested,
     EndpointLeaving,
-    EntryOpenWork,
+    EntryRunningWork,
     InstanceState,
     LiveEntry,
     LiveList,
@@ -101,7 +101,7 @@
     "DrainRequested",
     "EndpointLeaving",
     "EndpointUse",
-    "EntryOpenWork",
+    "EntryRunningWork",
     "Envelope",
     "HandoverAnswer",
     "HandoverOffer",
--- a/fescuekeel/messages/local.py
+++ b/fescuekeel/messages/local.py
@@ -11,7 +11,7 @@
 __all__ = [
     "DrainRequested",
     "EndpointLeaving",
-    "EntryOpenWork",
+    "EntryRunningWork",
     "InstanceState",
     "LiveEntry",
     "LiveList",
@@ -173,7 +173,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EntryOpenWork:
+class EntryRunningWork:
     """Access to the requests of this entry that may be running.
 
     ``list_work`` takes the id of an endpoint; the owner calls it.
--- a/standins/forwarding/platform.py
+++ b/standins/forwarding/platform.py
@@ -135,7 +135,7 @@
     def publish_version(self, adapter: str, version: int) -> None:
         """Publish a new version of an adapter."""
         for worker in self.workers_by_id.values():
-            worker.newest_by_adapter[adapter] = version
+            worker.latest_version_by_adapter[adapter] = version
         value = {"model": MODEL, "adapter": adapter, "version": version}
         self.store.put(f"op/version/{MODEL}.{adapter}", value)
 
--- a/standins/forwarding/workers.py
+++ b/standins/forwarding/workers.py
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RunRecord:
-    """A run as of its start; ``at`` is in monotonic seconds.
+    """A run as of its start; ``started_at`` is in monotonic seconds.
 
     ``account`` is the client account in the request. ``key`` is the caller's
     API key, which instances must not forward.
     """
 
     request_id: str
-    at: float
+    started_at: float
     adapter: str = ""
     version: int = 0
     account: str = ""
@@ -48,8 +48,8 @@
     rejected without running, ``cut`` drop the connection after some events
     and ``stall`` become unresponsive after some events. ``overrun`` is set
     by a load beyond ``max_loaded_adapters``; ``unloaded_in_use`` lists
-    adapters that were evicted while serving. ``fences`` and ``holders`` are
-    the fencing tokens and senders of the accepted orders, in order of
+    adapters that were evicted while serving. ``fencing_tokens`` and
+    ``holders`` are the tokens and senders of the accepted orders, in order of
     arrival. Reports are ``report_lag_s`` old.
     """
 
@@ -67,11 +67,11 @@
     served_by_weights: Counter[str] = field(default_factory=Counter)
     versions_by_adapter: dict[str, int] = field(default_factory=dict)
     pending: set[str] = field(default_factory=set)
-    newest_by_adapter: dict[str, int] = field(default_factory=dict)
+    latest_version_by_adapter: dict[str, int] = field(default_factory=dict)
     running: int = 0
     aborted_streams: int = 0
     sequence: int = 0
-    fences: list[int] = field(default_factory=list)
+    fencing_tokens: list[int] = field(default_factory=list)
     holders: list[str] = field(default_factory=list)
     overrun: bool = False
     running_by_adapter: Counter[str] = field(default_factory=Counter)
@@ -96,7 +96,7 @@
         self.born = max(self.born + 1, time.time_ns() // 1_000_000)
         self.versions_by_adapter.clear()
         self.pending.clear()
-        self.fences.clear()
+        self.fencing_tokens.clear()
         self.holders.clear()
         self.sequence = 0
         self._past_states.clear()
@@ -132,11 +132,11 @@
 
     def admit_order(self, fence: int, holder: str, precondition: int | None) -> int:
         """Return an order's rejection status, or record it and return 0."""
-        if fence < max(self.fences, default=0):
+        if fence < max(self.fencing_tokens, default=0):
             return 412
         if precondition is not None and precondition != self.sequence:
             return 409
-        self.fences.append(fence)
+        self.fencing_tokens.append(fence)
         self.holders.append(holder)
         return 0
 
@@ -239,7 +239,9 @@
             # The base model is always loaded.
             await self.respond(200, {})
             return
-        version = order.get("version") or worker.newest_by_adapter.get(adapter, 1)
+        version = order.get("version") or worker.latest_version_by_adapter.get(
+            adapter, 1
+        )
         if worker.versions_by_adapter.get(adapter, 0) >= version:
             await self.respond(200, {})
             return
--- a/tests/components/keys/test_decision.py
+++ b/tests/components/keys/test_decision.py
@@ -13,7 +13,7 @@
 from fescuekeel.components.keys.decision import KeyHome
 from fescuekeel.components.keys.homes import choose_homes, count_majority
 from fescuekeel.components.keys.ledger import Ledger
-from fescuekeel.components.keys.tally import Tally
+from fescuekeel.components.keys.tally import QuorumCounter
 from fescuekeel.errors import ErrorKind
 from fescuekeel.messages import (
     KeyAnswer,
@@ -120,7 +120,7 @@
         assert other.claim(make_claim("r3"), 2.0).kind == ErrorKind.KEY_USED.value
 
 
-class TestTally:
+class TestQuorumCounter:
     @pytest.mark.parametrize(
         ("answers", "won", "kind"),
         [
@@ -139,12 +139,12 @@
             "p": KeyAnswer(False, ErrorKind.KEY_IN_PROGRESS.value),
             "u": KeyAnswer(False, ErrorKind.KEY_USED.value),
         }
-        tally = Tally(3)
-        decided = [tally.add(by_letter[letter]) for letter in answers]
+        counter = QuorumCounter(3)
+        decided = [counter.add(by_letter[letter]) for letter in answers]
         assert decided == [False] * (len(answers) - 1) + [True]
-        assert tally.won is won
+        assert counter.won is won
         if kind:
-            assert tally.get_failure().kind is kind
+            assert counter.get_failure().kind is kind
 
 
 class TestKeyHome:
--- a/tests/components/keys/test_fuzz.py
+++ b/tests/components/keys/test_fuzz.py
@@ -8,7 +8,7 @@
 
 from fescuekeel.components.keys.const import DELISTED_HOLD_S
 from fescuekeel.components.keys.decision import KeyHome
-from fescuekeel.components.keys.tally import Tally
+from fescuekeel.components.keys.tally import QuorumCounter
 from fescuekeel.messages import (
     KeyClaim,
     KeyPull,
@@ -126,7 +126,7 @@
         self.requests += 1
         request = f"r{self.requests}"
         claim = KeyClaim(key, request, "d", LIFETIME_MS, homes)
-        state = {"tally": Tally(len(homes)), "over": False}
+        state = {"counter": QuorumCounter(len(homes)), "over": False}
         for home in homes:
             self.send(id, home, partial(self.answer_claim, id, home, claim, state))
 
@@ -137,7 +137,7 @@
         homes = self.nodes[id].find_homes(key, self.now)
         self.requests += 1
         claim = KeyClaim(key, f"r{self.requests}", "d", LIFETIME_MS, homes)
-        state = {"tally": Tally(len(homes)), "over": not homes}
+        state = {"counter": QuorumCounter(len(homes)), "over": not homes}
         for position, home in enumerate(homes):
             node = self.nodes.get(home) if reached >> position & 1 else None
             answer = node.claim(claim, self.now) if node else None
@@ -150,8 +150,8 @@
     def count(self, id, claim, state, answer):
         if state["over"]:
             return
-        state["over"] = state["tally"].add(answer)
-        if state["tally"].won:
+        state["over"] = state["counter"].add(answer)
+        if state["counter"].won:
             self.winners[claim.key].add((claim.request_id, id, claim.homes))
             assert len(self.winners[claim.key]) == 1, self.winners
         elif state["over"]:
--- a/tests/components/owner/test_endpoint.py
+++ b/tests/components/owner/test_endpoint.py
@@ -10,7 +10,7 @@
 from fescuekeel.errors import ErrorKind
 from fescuekeel.messages import (
     AdapterRef,
-    EntryOpenWork,
+    EntryRunningWork,
     PeerConnectionLost,
     RunningWork,
 )
@@ -257,7 +257,7 @@
             await cluster.add("i2")
             known = (RunningWork("old", COINS, 60_000),)
             cluster.nodes_by_id["i2"].instance.bus.publish_state(
-                EntryOpenWork(lambda endpoint: known)
+                EntryRunningWork(lambda endpoint: known)
             )
             cluster.engine.loaded |= {str(CUPS): None, str(COINS): None}
             cluster.engine.report()
@@ -411,7 +411,9 @@
             with mock.patch.object(
                 node.endpoint.driver,
                 "evict",
-                mock.AsyncMock(return_value=orders.OrderOutcome(False, unsure=True)),
+                mock.AsyncMock(
+                    return_value=orders.OrderOutcome(False, unconfirmed=True)
+                ),
             ):
                 await node.submit("i1", "r1", adapter=ROPES, remaining_ms=1500)
                 await eventually(lambda: len(node.endpoint.scheduler.loaded) == 1)
--- a/tests/fuzz/engines.py
+++ b/tests/fuzz/engines.py
@@ -301,7 +301,7 @@
         outcome = await self._exchange(
             lambda reply: callback(reply, written_at), timeout_s
         )
-        return outcome or OrderOutcome(False, unsure=True)
+        return outcome or OrderOutcome(False, unconfirmed=True)
 
     async def report(self, timeout_s):
         if self._unreachable:
--- a/tests/fuzz/world.py
+++ b/tests/fuzz/world.py
@@ -464,7 +464,8 @@
         record.caller_left = True
         if not record.node.dead:
             self._put(
-                record.node, lambda: record.node.gateway.lose_caller(record.request_id)
+                record.node,
+                lambda: record.node.gateway.handle_caller_disconnect(record.request_id),
             )
 
     def close(self):
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -365,7 +365,7 @@
             async with start_world() as world:
                 await world.send_stream_request()
                 for worker in world.platform.list_workers(ENGINES):
-                    worker.newest_by_adapter["a1"] = 2
+                    worker.latest_version_by_adapter["a1"] = 2
                 published = {"model": MODEL, "adapter": "a1", "version": 2}
                 world.platform.store.put(f"op/version/{MODEL}.a1", published)
 
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -80,7 +80,7 @@
         assert find_violations(workers=[make_worker(overrun=True)]) == ["places"]
 
     def test_fencing_token_of_two_holders(self):
-        worker = make_worker(fences=[7, 7], holders=["i1", "i2"])
+        worker = make_worker(fencing_tokens=[7, 7], holders=["i1", "i2"])
         assert find_violations(workers=[worker]) == ["fencing"]
 
     def test_response_truncated_by_planned_maintenance(self):
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -63,7 +63,7 @@
     ),
     ErrorKind.DRAINING: f"{GATEWAY}::test_draining_instance_rejects_requests",
     ErrorKind.KEY_HOME_UNREACHABLE: (
-        f"{KEYS}::TestTally::test_a_majority_of_three_wins"
+        f"{KEYS}::TestQuorumCounter::test_a_majority_of_three_wins"
     ),
     ErrorKind.KEY_IN_PROGRESS: SECOND_CLAIM,
     ErrorKind.KEY_USED: SECOND_CLAIM,
