--- a/fescuekeel/components/keys/component.py
+++ b/fescuekeel/components/keys/component.py
@@ -16,7 +16,7 @@
     PULL_TIMEOUT_S,
 )
 from fescuekeel.components.keys.decision import KeyHome
-from fescuekeel.components.keys.tally import QuorumCounter
+from fescuekeel.components.keys.quorum import QuorumCounter
 from fescuekeel.core import Actor, Instance
 from fescuekeel.errors import ErrorKind, Failure, Ran
 from fescuekeel.helpers.logging import log_event
--- a/tests/components/keys/test_decision.py
+++ b/tests/components/keys/test_decision.py
@@ -13,7 +13,7 @@
 from fescuekeel.components.keys.decision import KeyHome
 from fescuekeel.components.keys.homes import choose_homes, count_majority
 from fescuekeel.components.keys.ledger import Ledger
-from fescuekeel.components.keys.tally import QuorumCounter
+from fescuekeel.components.keys.quorum import QuorumCounter
 from fescuekeel.errors import ErrorKind
 from fescuekeel.messages import (
     KeyAnswer,
--- a/tests/components/keys/test_fuzz.py
+++ b/tests/components/keys/test_fuzz.py
@@ -8,7 +8,7 @@
 
 from fescuekeel.components.keys.const import DELISTED_HOLD_S
 from fescuekeel.components.keys.decision import KeyHome
-from fescuekeel.components.keys.tally import QuorumCounter
+from fescuekeel.components.keys.quorum import QuorumCounter
 from fescuekeel.messages import (
     KeyClaim,
     KeyPull,
