--- a/fescuekeel/components/placement/scheduler.py
+++ b/fescuekeel/components/placement/scheduler.py
@@ -21,7 +21,7 @@
     ORDER_LOST_S,
 )
 from fescuekeel.components.placement.holdings import Holdings
-from fescuekeel.components.placement.load_clock import LoadTimeEstimator
+from fescuekeel.components.placement.load_estimator import LoadTimeEstimator
 from fescuekeel.components.placement.model import (
     Effect,
     LoadRequest,
--- a/tests/components/placement/test_load_clock.py
+++ b/tests/components/placement/test_load_clock.py
@@ -1,7 +1,7 @@
 """Tests of the estimate of load times."""
 
 from fescuekeel.components.placement.const import CHECK_PERIOD_S, MAX_PENDING
-from fescuekeel.components.placement.load_clock import LoadTimeEstimator
+from fescuekeel.components.placement.load_estimator import LoadTimeEstimator
 
 
 def record_loads(estimator, took_s, times=30, warm=False):
