--- a/fescuekeel/helpers/driver.py
+++ b/fescuekeel/helpers/driver.py
@@ -102,9 +102,9 @@
 class OrderOutcome:
     """Result of a load or an eviction.
 
-    ``fence`` is the fencing token that the order carried. ``unconfirmed`` says that
-    it was sent but no reply came: the endpoint may have executed it, or may
-    still do so.
+    ``fence`` is the fencing token that the order carried. ``unconfirmed`` says
+    that it was sent but no reply came: the endpoint may have executed it, or
+    may still do so.
     """
 
     ok: bool
--- a/standins/forwarding/workers.py
+++ b/standins/forwarding/workers.py
@@ -48,8 +48,8 @@
     rejected without running, ``cut`` drop the connection after some events
     and ``stall`` become unresponsive after some events. ``overrun`` is set
     by a load beyond ``max_loaded_adapters``; ``unloaded_in_use`` lists
-    adapters that were evicted while serving. ``fencing_tokens`` and ``holders`` are
-    the fencing tokens and senders of the accepted orders, in order of
+    adapters that were evicted while serving. ``fencing_tokens`` and
+    ``holders`` are the tokens and senders of the accepted orders, in order of
     arrival. Reports are ``report_lag_s`` old.
     """
 
