--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -95,7 +95,11 @@
         """Return the owner's view of an adapter at an endpoint, if any."""
         owners = (each.components_by_domain["owner"] for each in self.instances)
         found = (each.owners_by_endpoint.get(endpoint) for each in owners)
-        situations = (each.arrivals.look(adapter) for each in found if each is not None)
+        situations = (
+            each.arrivals.describe_candidate(adapter)
+            for each in found
+            if each is not None
+        )
         return next((each for each in situations if each is not None), None)
 
     async def post(self, instance, path, body, **headers):
